--- a/packages/calls/src/claims.ts
+++ b/packages/calls/src/claims.ts
@@ -1,4 +1,4 @@
-/** Plain Idempotency-Key headers: the first to claim a key in the platform's table fixes its request id for good. */
+/** Binds Idempotency-Key headers to request ids in the platform's table: the first daemon to bind a key fixes its request id for good. */
 import { type Clock } from '@cleatquay/clock';
 import { type Table } from '@cleatquay/store';
 import { createHash } from 'node:crypto';
@@ -6,14 +6,14 @@
 const MAX_ATTEMPTS = 5;
 const BACKOFF_STEP_MS = 100;
 
-/** Claims of keys; a claim never lapses. */
+/** Bindings of keys to request ids, which never expire. */
 export class Claims {
   constructor(
     private readonly clock: Clock,
     private readonly table: Table | undefined,
   ) {}
 
-  /** The request id that the key stands for, now and ever; undefined when the platform gives no answer. */
+  /** The request id that the key is bound to, for good; undefined when the platform does not respond. */
   async claim(service: string, key: string, freshId: string): Promise<string | undefined> {
     if (!this.table) return undefined;
     const row = `claim-${createHash('sha256').update(`${service}\n${key}`).digest('base64url')}`;
--- a/packages/calls/src/fleetRetryBudget.ts
+++ b/packages/calls/src/fleetRetryBudget.ts
@@ -1,40 +1,39 @@
 /**
- * Holds the repeats of a whole fleet at each service to a fraction of its requests, in any window. No daemon asks
- * another: each spends its own part, worked out from the requests that it sent itself, and less by what it had to send
- * though it repeats something: a call of a run that is a repeat.
+ * Limits the retries of a whole fleet at each service to a fraction of its requests, in any window, without communication
+ * between daemons: each has a budget from the requests that it sent itself. Calls made by a request that is itself a retry
+ * have to be sent again; they are charged to the budget, too.
  */
 import { type Clock } from '@cleatquay/clock';
 import { type Repeat, type RetryBudget } from './retryAllowance.js';
 
 /**
- * Part of the fraction that is spent. The rest is for daemons that had to send more repeats than their part, since the
- * runs that call again are not spread evenly.
+ * Ratio of the budget that is spent on retries. The rest covers daemons that had to send more retries than their share,
+ * since requests that are retries, and make their calls again, are not spread evenly over daemons.
  */
 const USABLE_RATIO = 0.8;
 /**
- * Parts while more tries ask to be repeated than can be: for the first call of a request, and more for each call that was
- * made before. Answers to: a service that refuses a share of all its calls. A chain is lost with any of its calls, so that
- * repeats are worth most for its last ones.
+ * Ratios while more retries are requested than the budget has: that of the first call of a request, and the increment for
+ * each earlier call. While a service refuses some of its calls, a chain fails with any one of them, so that a retry is worth
+ * most for the last calls of a chain.
  */
 const SCARCE_BASE_RATIO = 0.2;
 const SCARCE_RATIO_PER_CALL = 0.2;
 /**
- * Part for tries that may have run. Each repeats the calls of its run, so that the repeats of all levels above add up at
- * the deepest service: with seven levels they make 0.84.
+ * Ratio for retries of attempts that may have run. Each makes the calls of its request again, so that the retries of all
+ * levels of the call graph add up at the deepest service: with seven levels, to 0.84.
  */
 const MAY_HAVE_RUN_RATIO = 0.12;
-/** The window is counted in so many steps. */
 const BUCKETS_PER_WINDOW = 10;
-/** Whether repeats are scarce is told by so many steps, one of them not over yet. */
+/** Scarcity is determined over this many of the latest buckets, including the current one. */
 const SCARCITY_BUCKETS = 2;
-/** Part of the fixed allowance that the fleet may spend; the rest covers daemons that this one does not know of. */
+/** Ratio of the fixed allowance that the fleet may spend; the rest covers daemons that this one does not know of. */
 const FIXED_RATIO = 0.5;
 
-/** Bounds of the fleet for one service. */
+/** Limits of the whole fleet for one service. */
 export interface FleetRetryBounds {
-  /** Repeats for each request. */
+  /** Retries per request. */
   readonly ratio: number;
-  /** Repeats beyond that, for the whole fleet, in one window. */
+  /** Retries beyond that, for the whole fleet, in one window. */
   readonly extra: number;
   readonly windowMs: number;
 }
@@ -42,22 +41,22 @@
 interface Bucket {
   readonly index: number;
   requests: number;
-  /** Repeats of tries that ran nowhere, and calls that runs which are repeats made again. */
+  /** Retries of attempts that did not run, and calls made again by requests that are retries. */
   otherRetries: number;
-  /** Repeats of tries that may have run. */
+  /** Retries of attempts that may have run. */
   mayHaveRunRetries: number;
-  /** Tries that were to be repeated, whether they could be or not. */
+  /** Retries requested, whether granted or not. */
   wantedRetries: number;
 }
 
-/** The budget of one daemon. */
+/** The retry budget of one daemon. */
 export class FleetRetryBudget implements RetryBudget {
   private readonly buckets = new Map<string, Bucket[]>();
 
   constructor(
     private readonly clock: Clock,
     private readonly bounds: FleetRetryBounds,
-    /** How many daemons share the fixed allowance, this one included. */
+    /** How many daemons, including this one, share the fixed allowance. */
     private readonly daemons: () => number,
   ) {}
 
@@ -68,10 +67,10 @@
   }
 
   succeeded(): void {
-    // Requests count, however they end.
+    // The budget depends on requests, whatever their outcome.
   }
 
-  take(service: string, { before, callsBefore }: Repeat): boolean {
+  take(service: string, { previousOutcome, callsBefore }: Repeat): boolean {
     const current = this.currentBucket(service);
     current.wantedRetries++;
     const { ratio, extra } = this.bounds;
@@ -86,13 +85,14 @@
     const maxRetries = requests * ratio + (extra * FIXED_RATIO) / Math.max(1, this.daemons());
     const share = this.isScarce(service) ? scarceRatio(callsBefore) : USABLE_RATIO;
     if (otherRetries + mayHaveRunRetries + 1 > maxRetries * share) return false;
-    if (before === 'may-have-run' && mayHaveRunRetries + 1 > maxRetries * MAY_HAVE_RUN_RATIO) return false;
-    if (before === 'may-have-run') current.mayHaveRunRetries++;
+    if (previousOutcome === 'may-have-run' && mayHaveRunRetries + 1 > maxRetries * MAY_HAVE_RUN_RATIO)
+      return false;
+    if (previousOutcome === 'may-have-run') current.mayHaveRunRetries++;
     else current.otherRetries++;
     return true;
   }
 
-  /** Whether more tries were to be repeated of late than the fraction allows. */
+  /** Whether more retries were requested recently than the budget allows. */
   private isScarce(service: string): boolean {
     const latest = (this.buckets.get(service) ?? []).slice(-SCARCITY_BUCKETS);
     const requests = latest.reduce((sum, bucket) => sum + bucket.requests, 0);
@@ -100,7 +100,7 @@
     return wantedRetries > requests * this.bounds.ratio * USABLE_RATIO;
   }
 
-  /** The bucket of now; those that have left the window are dropped. */
+  /** The current bucket; drops buckets that have left the window. */
   private currentBucket(service: string): Bucket {
     const index = Math.floor((this.clock.now() * BUCKETS_PER_WINDOW) / this.bounds.windowMs);
     let buckets = this.buckets.get(service);
--- a/packages/calls/src/forwarder.ts
+++ b/packages/calls/src/forwarder.ts
@@ -157,11 +157,11 @@
       if (signal.aborted || !body.isReplayable) return refuse(lastAttempt.refusal);
       const { refusal } = lastAttempt;
       const retryContext = { refusal, idempotent: route.idempotent, tokens, reroutes: reroutesLeft };
-      const next = nextTry(retryContext, before =>
-        retries.take(route.service, { before, callsBefore: callsAtRisk(context) }),
+      const next = nextTry(retryContext, previousOutcome =>
+        retries.take(route.service, { previousOutcome, callsBefore: callsAtRisk(context) }),
       );
       if (next === 'none') return refuse(refusal);
-      if (next === 'move') reroutesLeft--;
+      if (next === 'reroute') reroutesLeft--;
       else tokens--;
       isRepeat ||= hasReachedUpstream(refusal);
     }
--- a/packages/calls/src/heldBack.ts
+++ b/packages/calls/src/heldBack.ts
@@ -1,7 +1,7 @@
-/** What is told of a request that is held back since upstreams end under it. */
+/** The refusal of a quarantined request. */
 import { type Refusal, refusalOf } from '@cleatquay/protocol';
 
-/** The refusal of such a request; no upstream gets it. */
+/** Refuses a request under which several upstreams crashed; it is sent to no upstream. */
 export function quarantineRefusal(retryAfterMs: number): Refusal {
-  return refusalOf('quarantined', 'Upstreams ended while they ran this request.', { retryAfterMs });
+  return refusalOf('quarantined', 'Upstreams crashed while they ran this request.', { retryAfterMs });
 }
--- a/packages/calls/src/home.ts
+++ b/packages/calls/src/home.ts
@@ -1,6 +1,6 @@
 /**
- * At most once: the daemon that issued a request id is the only one to start the request, and remembers how it
- * ended until the id expires. A resend joins the running request or gets the same answer.
+ * At-most-once execution: the daemon that issued a request id is the only one to start the request, and keeps its
+ * result until the id expires. A resend waits for the running request or gets the same response.
  */
 import { type CancelSignal, Cancellation, type Clock, NOT_NEEDED } from '@cleatquay/clock';
 import { type Outcome, invariant } from '@cleatquay/errors';
@@ -20,7 +20,7 @@
   readonly ended: Promise<RequestResult>;
 }
 
-/** Requests of this home by id. */
+/** Requests whose ids this daemon issued, by id. */
 export class Home {
   private readonly records = new Map<string, RequestRecord>();
   private responseBytes = 0;
@@ -28,29 +28,29 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** How many ids are remembered. */
+  /** How many ids have a record. */
   get size(): number {
     return this.records.size;
   }
 
-  /** How many run just now. */
+  /** How many requests are running. */
   get runningCount(): number {
     return this.running;
   }
 
-  /** Whether a new id can be promised to be remembered. */
+  /** Whether there is capacity to keep the result of one more id. */
   get hasRoom(): boolean {
     return this.records.size < MAX_RECORDS && this.responseBytes < MAX_RESPONSE_BYTES;
   }
 
-  /** Whether the id was seen here. */
+  /** Whether the id has a record. */
   knows(id: string): boolean {
     return this.records.has(id);
   }
 
   /**
-   * Runs `start` unless the id was seen, and gives its ending either way. `start` goes on when `signal` aborts,
-   * which only stops the waiting. Whoever is told "not run" is told so again: the id never runs after that.
+   * Calls `start` unless the id has a record, and yields the result of the request either way. An abort of `signal` only
+   * ends the wait; `start` continues. An id that was reported as not run stays so: it never runs after that.
    */
   async *once(
     id: string,
@@ -61,7 +61,7 @@
   ): AsyncGenerator<AnswerPart> {
     const record = this.records.get(id) ?? this.startRequest(id, lifetimeMs, start);
     const result = record.result ?? (await this.wait(record, waitMs, signal));
-    if (!result) yield endOf(refusalOf('deadlinePassed', 'The request still runs.'), 0);
+    if (!result) yield endOf(refusalOf('deadlinePassed', 'The request is still running.'), 0);
     else if (result.kind === 'answered') yield replay(result.response);
     else yield endOf(result.refusal, 0);
   }
@@ -74,8 +74,8 @@
     const waited = new Cancellation();
     const stop = () => waited.abort(NOT_NEEDED);
     signal.addEventListener('abort', stop, { once: true });
-    const patience = this.clock.sleep(waitMs, waited.signal).then(() => undefined);
-    const result = await Promise.race([record.ended, patience]);
+    const timeout = this.clock.sleep(waitMs, waited.signal).then(() => undefined);
+    const result = await Promise.race([record.ended, timeout]);
     signal.removeEventListener('abort', stop);
     waited.abort(NOT_NEEDED);
     return result;
@@ -85,7 +85,7 @@
     const ended = this.hasRoom ? this.run(start) : Promise.resolve(memoryFull());
     const record: RequestRecord = { result: undefined, ended };
     void ended.then(result => {
-      invariant(record.result === undefined, 'Home: a request ended twice.');
+      invariant(record.result === undefined, 'RequestDeduplicator: a request completed twice.');
       record.result = result;
       if (result.kind === 'answered') this.responseBytes += result.response.body.length;
       this.clock.after(lifetimeMs, () => this.forget(id, result));
@@ -108,9 +108,9 @@
         const response = recorder.add(part);
         if (response) return { kind: 'answered', response };
       }
-      return unknownOutcome('The answer was not kept whole.');
+      return unknownOutcome('The response could not be stored in full.');
     } catch (error) {
-      return unknownOutcome(`The request broke off: ${String(error)}.`);
+      return unknownOutcome(`The request failed: ${String(error)}.`);
     } finally {
       this.running--;
     }
@@ -123,5 +123,5 @@
 }
 
 function memoryFull(): RequestResult {
-  return { kind: 'refused', refusal: refusalOf('memoryFull', 'Too many requests are remembered.') };
+  return { kind: 'refused', refusal: refusalOf('memoryFull', 'Too many request results are stored.') };
 }
--- a/packages/calls/src/journal.ts
+++ b/packages/calls/src/journal.ts
@@ -1,16 +1,16 @@
 /**
- * What was decided about each request, for `cleatquay explain` and for the log. Notes are kept for a while; those of a
- * request that ended badly, and of a sample of the others, are handed to the log when it has ended, all or none.
+ * A trace of the decisions about each request, for `cleatquay explain` and for the log. The latest requests are kept. When
+ * a request has ended, all of its decisions are logged if it failed or belongs to the sample, and none otherwise.
  */
 import { type Clock } from '@cleatquay/clock';
 import { crc32 } from 'node:zlib';
 
 const MAX_REQUESTS = 2000;
 const MAX_RECORDS_PER_REQUEST = 20;
-/** One request in so many is logged though nothing went wrong. Chosen by its id, so that all daemons choose the same. */
+/** One of this many successful requests is logged. It is chosen by a hash of its id, so that all daemons choose the same ones. */
 const SAMPLE_INTERVAL = 256;
 
-/** What a decision rested on: inputs, their age or version. */
+/** The inputs of a decision, with their age or version. */
 export type Facts = Readonly<Record<string, string | number | boolean>>;
 
 /** One decision. */
@@ -21,14 +21,14 @@
   readonly facts: Facts;
 }
 
-/** A decision as it is kept: made readable only when somebody asks, since almost nobody does. */
+/** A decision as it is stored. The timestamp is formatted only when it is read, since hardly any is. */
 interface DecisionRecord {
   readonly atMs: number;
   readonly what: string;
   readonly facts: Facts;
 }
 
-/** Takes the decisions about one request that has ended here. */
+/** Receives the decisions about a request that has ended at this daemon. */
 export type DecisionSink = (requestId: string, decisions: readonly Decision[]) => void;
 
 const NO_FACTS: Facts = {};
@@ -42,31 +42,31 @@
     private readonly sink?: DecisionSink,
   ) {}
 
-  /** Notes a decision; the oldest request makes room. */
+  /** Records a decision; evicts the oldest request when the trace is full. */
   note(requestId: string, what: string, facts: Facts = NO_FACTS): void {
-    let notes = this.byRequest.get(requestId);
-    if (!notes) this.byRequest.set(requestId, (notes = []));
-    if (notes.length < MAX_RECORDS_PER_REQUEST) notes.push({ atMs: this.clock.now(), what, facts });
+    let records = this.byRequest.get(requestId);
+    if (!records) this.byRequest.set(requestId, (records = []));
+    if (records.length < MAX_RECORDS_PER_REQUEST) records.push({ atMs: this.clock.now(), what, facts });
     if (this.byRequest.size <= MAX_REQUESTS) return;
     const [oldest] = this.byRequest.keys();
     if (oldest !== undefined) this.byRequest.delete(oldest);
   }
 
-  /** The request has ended here; its decisions go to the log if it ended badly, or is one of the sample. */
-  ended(requestId: string, isBad: boolean): void {
-    if (!this.sink || !(isBad || crc32(requestId) % SAMPLE_INTERVAL === 0)) return;
+  /** The request has ended at this daemon; its decisions are logged if it failed or belongs to the sample. */
+  ended(requestId: string, isFailed: boolean): void {
+    if (!this.sink || !(isFailed || crc32(requestId) % SAMPLE_INTERVAL === 0)) return;
     this.sink(requestId, this.toDecisions(this.byRequest.get(requestId) ?? []));
   }
 
-  /** What was decided about a request, and about the calls made for it. */
+  /** The decisions about a request and about the calls that it made. */
   find(requestId: string): Record<string, Decision[]> {
     const found = [...this.byRequest].filter(([id]) => id === requestId || id.startsWith(`${requestId}/`));
-    return Object.fromEntries(found.map(([id, notes]) => [id, this.toDecisions(notes)]));
+    return Object.fromEntries(found.map(([id, records]) => [id, this.toDecisions(records)]));
   }
 
-  private toDecisions(notes: readonly DecisionRecord[]): Decision[] {
+  private toDecisions(records: readonly DecisionRecord[]): Decision[] {
     const offsetMs = this.clock.date().getTime() - this.clock.now();
-    return notes.map(({ atMs, what, facts }) => ({
+    return records.map(({ atMs, what, facts }) => ({
       at: new Date(offsetMs + atMs).toISOString(),
       what,
       facts,
--- a/packages/calls/src/learnedCalls.ts
+++ b/packages/calls/src/learnedCalls.ts
@@ -1,20 +1,20 @@
-/** Which calls the runs of a route make, learned from the calls themselves, where nobody declares them. */
+/** The calls that each route makes, learned from observed calls where no configuration declares them. */
 import { type Clock } from '@cleatquay/clock';
 import { type CallRoute } from './callHandler.js';
 
-/** A call that was not seen for so long is not expected any more, ms: longer than any pause in a route's traffic. */
+/** A call that has not been observed for this long is no longer expected; longer than any pause in a route's traffic. */
 const CALL_LIFETIME_MS = 30_000;
 
-/** What a call goes to. */
+/** The target of a call. */
 export type CalledRoute = Pick<CallRoute, 'name' | 'service'>;
 
-/** Calls by the route of their parent. */
+/** Observed calls by the route of the request that made them. */
 export class LearnedCalls {
   private readonly byParent = new Map<string, Map<string, { route: CalledRoute; seenAt: number }>>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** A run of `parent` called a route. */
+  /** Records that a request of the route `parent` called a route. */
   saw(parent: string, { name, service }: CalledRoute): void {
     let calls = this.byParent.get(parent);
     if (!calls) this.byParent.set(parent, (calls = new Map()));
@@ -24,7 +24,7 @@
     else calls.set(key, { route: { name, service }, seenAt: this.clock.now() });
   }
 
-  /** The calls to expect of a run of `parent`. */
+  /** The calls that a request of the route `parent` is expected to make. */
   of(parent: string): readonly CalledRoute[] {
     const calls = this.byParent.get(parent);
     if (!calls) return [];
--- a/packages/calls/src/localUpstream.ts
+++ b/packages/calls/src/localUpstream.ts
@@ -1,27 +1,27 @@
-/** The upstream beside a daemon, as calls see it. */
+/** The interface of the local upstream, on the same VM as the daemon, that calls use. */
 import { type Admission, type RouteCosts } from '@cleatquay/admission';
 import { type UpstreamNotice } from '@cleatquay/protocol';
 import { type AnswerNotice } from './answerNotice.js';
 import { type UpstreamConnections } from './upstreamConnections.js';
 
-/** An announced upstream as calls see it. */
+/** An upstream that has announced itself to this daemon. */
 export interface LocalUpstream {
   readonly admission: Admission;
   readonly costs: RouteCosts;
   readonly connections: UpstreamConnections;
   readonly isDraining: boolean;
-  /** Names the upstream; empty if it doesn't tell. */
+  /** Identifies the upstream instance; empty if it does not report an id. */
   readonly instanceId: string;
-  /** Names this start of it, in the whole fleet. */
+  /** Identifies this process start of the instance, uniquely in the fleet. */
   readonly start: string;
   /** ip:port */
   readonly address: string;
-  /** It takes no connections: it is out until it announces itself again. */
+  /** It refused a connection: it gets no requests until it announces itself again. */
   readonly refusedConnection: () => void;
-  /** Another instance answers at its address: it is gone. */
+  /** Another instance responds at its address, so that this one no longer exists. */
   readonly anotherAnswers: () => void;
-  /** What it has said of itself that others should know; undefined as a rule. */
+  /** Its latest notice for other daemons; usually undefined. */
   readonly notice: UpstreamNotice | undefined;
-  /** What an answer of it says of it, to a request that was given to it at a time by the clock's `awake`, ms. */
-  readonly heard: (notice: AnswerNotice, askedAt: number) => void;
+  /** Takes the notice in one of its responses. `sentAt` is when the request was sent to it, by the clock's `awake`, ms. */
+  readonly heard: (notice: AnswerNotice, sentAt: number) => void;
 }
--- a/packages/calls/src/lostContact.ts
+++ b/packages/calls/src/lostContact.ts
@@ -1,10 +1,8 @@
-/** The error of a contact with a peer that failed. */
-
-/** Contact with a peer failed. */
+/** The connection to a peer could not be made, or failed before the response was complete. */
 export class LostContact extends Error {
   constructor(
     message: string,
-    /** True when it is certain that the peer got nothing. */
+    /** True when the peer certainly received nothing of the request. */
     readonly neverSent: boolean,
   ) {
     super(message);
--- a/packages/calls/src/namedRequest.ts
+++ b/packages/calls/src/namedRequest.ts
@@ -1,11 +1,11 @@
-/** A request with the fingerprint that it is known by, which is made only when somebody needs it. */
+/** A request with its fingerprint, which is computed only when it is needed. */
 import { type Quarantine, type SuspectRequest, fingerprintOf } from '@cleatquay/quarantine';
 import { type RequestHead } from '@cleatquay/protocol';
 import { type ReplayBody } from './replayBody.js';
 
 const NO_FINGERPRINT = { fingerprint: '', endedStarts: [] };
 
-/** One request at the daemon where it entered, once the beginning of its body has been read. */
+/** A request at its ingress daemon, after the beginning of its body has been read. */
 export class FingerprintedRequest {
   private cachedFingerprint: string | undefined;
 
@@ -14,14 +14,15 @@
     private readonly body: ReplayBody,
   ) {}
 
-  /** Of the head and of what was read of the body. */
+  /** The fingerprint of the head and of the beginning of the body. */
   get fingerprint(): string {
     return (this.cachedFingerprint ??= fingerprintOf(this.head, this.body.beginning));
   }
 
   /**
-   * What the next daemon is told of it: nothing as a rule, since that one makes the fingerprint of a short body itself, if it needs it. Of a longer one
-   * it has only a stream. Of a suspect, word of an end may be on its way still when the request goes on to another upstream.
+   * The fields that are sent to the next daemon. They are usually empty, since that daemon can compute the fingerprint of a short body itself; of a
+   * longer body it has only a stream. The crashes of a suspect are sent along, since the report of a crash may still be in transit when the request
+   * is sent to another upstream.
    */
   headFields(quarantine: Quarantine): Pick<RequestHead, 'fingerprint' | 'endedStarts'> {
     const endedStarts = quarantine.isEmpty ? [] : quarantine.startsUnder(this.fingerprint);
@@ -29,13 +30,13 @@
     return { fingerprint: this.fingerprint, endedStarts };
   }
 
-  /** As it is told where an upstream ended under it. */
+  /** The request as it is reported when an upstream crashes under it. */
   get suspect(): SuspectRequest {
     const { method, path } = this.head;
     return { method, path, fingerprint: this.fingerprint };
   }
 
-  /** An upstream gave a whole answer to it. */
+  /** Records that an upstream sent a complete response to it. */
   recordResponse(quarantine: Quarantine): void {
     quarantine.answered(this.head, this.body.beginning, () => this.fingerprint);
   }
--- a/packages/calls/src/nextTry.ts
+++ b/packages/calls/src/nextTry.ts
@@ -1,40 +1,40 @@
-/** Whether a call whose last try failed is sent once more, and what that costs. */
+/** Decides whether a call whose last attempt failed is sent again, and what that costs. */
 import { resultByCode } from '@cleatquay/errors';
 import { type Refusal } from '@cleatquay/protocol';
 import { type Repeat } from './retryAllowance.js';
 
 /**
- * What follows a failed try: nothing; a move to another daemon, which costs nothing since no upstream has seen the call;
- * or a repeat, which costs a token of the call and a retry of the fleet's budget.
+ * What follows a failed attempt: nothing; a reroute to another daemon, which costs nothing since no upstream has received the call; or a retry,
+ * which costs a token of the call and, if an upstream has received the call, a retry of the budget.
  */
-export type NextTry = 'none' | 'move' | 'repeat';
+export type NextTry = 'none' | 'reroute' | 'retry';
 
-/** A call after a failed try. */
+/** The state of a call after a failed attempt. */
 export interface FailedTry {
   readonly refusal: Refusal;
   readonly idempotent: boolean;
-  /** Tokens that are left to the call. */
+  /** Retry tokens that the call has left. */
   readonly tokens: number;
-  /** Moves that are left to it. */
+  /** Reroutes that it has left. */
   readonly reroutes: number;
 }
 
-/** Decides on the next try; `takeRepeat` is asked last, and takes a retry of the budget if there is one. */
+/** Decides what follows a failed attempt. `takeRetry` is called last, and takes a retry from the budget if it has one. */
 export function nextTry(
-  { refusal, idempotent, tokens, reroutes: moves }: FailedTry,
-  takeRepeat: (before: Repeat['before']) => boolean,
+  { refusal, idempotent, tokens, reroutes }: FailedTry,
+  takeRetry: (previousOutcome: Repeat['previousOutcome']) => boolean,
 ): NextTry {
   if (!refusal.elsewhereHelps) return 'none';
   if (!hasReachedUpstream(refusal)) {
-    if (moves > 0) return 'move';
-    return tokens > 0 ? 'repeat' : 'none';
+    if (reroutes > 0) return 'reroute';
+    return tokens > 0 ? 'retry' : 'none';
   }
-  const before = refusal.outcome === 'not-run' ? 'not-run' : 'may-have-run';
-  const mayRepeat = tokens > 0 && (before === 'not-run' || idempotent);
-  return mayRepeat && takeRepeat(before) ? 'repeat' : 'none';
+  const previousOutcome = refusal.outcome === 'not-run' ? 'not-run' : 'may-have-run';
+  const mayRetry = tokens > 0 && (previousOutcome === 'not-run' || idempotent);
+  return mayRetry && takeRetry(previousOutcome) ? 'retry' : 'none';
 }
 
-/** Whether the try got as far as an upstream, which then ran it or refused it. */
+/** Whether the attempt reached an upstream, which then ran or refused it. */
 export function hasReachedUpstream({ code, outcome }: Refusal): boolean {
   return outcome !== 'not-run' || resultByCode(code) === 'shedByUpstream';
 }
--- a/packages/calls/src/quotaGate.ts
+++ b/packages/calls/src/quotaGate.ts
@@ -1,4 +1,4 @@
-/** Lets requests of organisations on within their quotas, before they take a slot or a retry anywhere, and counts how they end. */
+/** Enforces the quotas of organisations before their requests use a slot or a retry anywhere, and counts how the requests end. */
 import { type Clock } from '@cleatquay/clock';
 import { resultCodes } from '@cleatquay/errors';
 import {
@@ -14,27 +14,27 @@
 import { type Journal } from './journal.js';
 import { MIN_SERVER_ERROR_STATUS, recordOutcome } from './requestNotes.js';
 
-/** Nobody who gives out quotas could be asked: the next daemon that does has them within a second. */
+/** The quota coordinator was unreachable; another daemon takes its place within a second. */
 const QUOTA_UNREACHABLE_RETRY_AFTER_MS = 500;
 
-/** What the gate needs of its daemon. */
+/** Dependencies on the daemon. */
 export interface QuotaGateOptions {
   readonly clock: Clock;
   readonly journal: Journal;
   readonly quotas: () => Pick<Quotas, 'take' | 'giveBack'>;
   readonly counts: OrganisationCounts;
-  /** How long ago the configuration was known to be the newest, ms. */
+  /** Age of the freshness proof of the active configuration, ms. */
   readonly proofAgeMs: () => number;
 }
 
-/** Sends a request on. */
+/** Forwards a request with the given context. */
 export type ForwardRequest = (context: CallContext) => Promise<CallAnswer>;
 
-/** The gate of one daemon. */
+/** The quota enforcement of one daemon. */
 export class QuotaGate {
   constructor(private readonly options: QuotaGateOptions) {}
 
-  /** One request of an organisation. */
+  /** Forwards a request of an organisation, or refuses it if the quota has no capacity. */
   async pass(organisation: Organisation, context: CallContext, forward: ForwardRequest): Promise<CallAnswer> {
     const { name, quota } = organisation;
     const response = await (quota ? this.withinQuota(name, quota, context, forward) : forward(context));
@@ -42,12 +42,12 @@
     return response;
   }
 
-  /** What is noted of an organisation's request. */
+  /** The facts that the decision trace records about a request of an organisation. */
   factsOf(organisation: string): { organisation: string; proofAgeMs: number } {
     return { organisation, proofAgeMs: Math.round(this.options.proofAgeMs()) };
   }
 
-  /** Room that was taken for a request that ran nowhere is given back. */
+  /** Quota that was acquired for a request that did not run is refunded. */
   private async withinQuota(
     organisation: string,
     quota: Quota,
@@ -72,7 +72,7 @@
   ): CallAnswer {
     const { journal } = this.options;
     const facts = { ...this.factsOf(organisation), ...quota, ...taken };
-    journal.note(requestId, 'Refused by its quota.', facts);
+    journal.note(requestId, 'Refused: the quota of its organisation has no capacity.', facts);
     const response = answerOf(endOf(refusalFor(organisation, taken), retryTokens));
     recordOutcome(journal, requestId, response, 0);
     return response;
@@ -81,10 +81,10 @@
 
 function refusalFor(organisation: string, taken: Exclude<Taken, { kind: 'taken' }>): Refusal {
   if (taken.kind === 'unknown')
-    return refusalOf('quotaUnreachable', 'Nobody could be asked whether the quota has room.', {
+    return refusalOf('quotaUnreachable', 'No quota coordinator could be reached.', {
       retryAfterMs: QUOTA_UNREACHABLE_RETRY_AFTER_MS,
     });
-  return refusalOf('quotaExceeded', `${organisation} has sent what its quota allows.`, {
+  return refusalOf('quotaExceeded', `${organisation} has used up its quota.`, {
     retryAfterMs: Math.max(1, Math.round(taken.retryAfterMs)),
   });
 }
--- a/packages/calls/src/requestNotes.ts
+++ b/packages/calls/src/requestNotes.ts
@@ -1,11 +1,11 @@
-/** What is noted of a request at the daemon where it entered. */
+/** Records the outcome of a request in the decision trace of its ingress daemon. */
 import { type CallAnswer } from './callHandler.js';
 import { type Journal } from './journal.js';
 
-/** Answers from this status on are failures of the upstream, or of something that it called. */
+/** Responses with this status or a higher one are failures of the upstream, or of a service that it called. */
 export const MIN_SERVER_ERROR_STATUS = 500;
 
-/** How it ended, so many ms after it came. */
+/** Records how a request ended, and that it took `ms`. */
 export function recordOutcome(journal: Journal, requestId: string, { first }: CallAnswer, ms: number): void {
   const { refusal, head } = first;
   const tookMs = Math.round(ms);
--- a/packages/calls/src/retryAllowance.ts
+++ b/packages/calls/src/retryAllowance.ts
@@ -1,32 +1,32 @@
-/** Holds the retries of one daemon to a fraction of its recent successes. */
+/** Limits the retries of one daemon to a fraction of its recent successes. */
 
 const TOKENS_PER_SUCCESS = 0.1;
 const MAX_TOKENS = 20;
 
-/** A try that is to be sent once more. */
+/** A retry that the budget is asked for. */
 export interface Repeat {
-  /** Whether the try before ran nowhere, or may have run. */
-  readonly before: 'not-run' | 'may-have-run';
-  /** Calls that were made for its request before it: their work is lost if it fails. */
+  /** Whether the previous attempt certainly did not run, or may have run. */
+  readonly previousOutcome: 'not-run' | 'may-have-run';
+  /** Calls made earlier for the same request, whose work is lost if this call fails. */
   readonly callsBefore: number;
 }
 
-/** Decides which tries may be repeated where the first may have reached an upstream. */
+/** Decides which calls may be retried after an attempt that reached an upstream. */
 export interface RetryBudget {
-  /** A request for the service came; `isRepeat` if it repeats a call that the service had before. */
+  /** Counts a request for the service; `isRepeat` if an earlier attempt of it, or of a request that it is a call for, reached an upstream. */
   readonly requested: (service: string, isRepeat: boolean) => void;
-  /** A call was answered. */
+  /** Counts a call that was answered. */
   readonly succeeded: () => void;
-  /** Takes one retry at the service if there is one. */
+  /** Takes one retry at the service; false if the budget has none. */
   readonly take: (service: string, repeat: Repeat) => boolean;
 }
 
-/** A bucket that successes fill and retries empty. */
+/** A token bucket that successes refill and retries drain. */
 export class RetryAllowance implements RetryBudget {
   private tokens = MAX_TOKENS;
 
   requested(): void {
-    // Only successes count.
+    // Only successes refill the bucket.
   }
 
   succeeded(): void {
--- a/packages/calls/src/runningCalls.ts
+++ b/packages/calls/src/runningCalls.ts
@@ -1,59 +1,62 @@
-/** The requests that run on the upstream beside this daemon: what their calls further down inherit. */
+/** The requests that run on the local upstream, and what the calls that they make inherit from them. */
 import { type CancelSignal } from '@cleatquay/clock';
 import { invariant } from '@cleatquay/errors';
 import { type CallContext, type RequestHead } from '@cleatquay/protocol';
 import { type CallBody, type CallRoute } from './callHandler.js';
 
-/** What a running request asks, and at which start of an upstream it runs. */
+/** The content of a running request, and the process start of the upstream that runs it. */
 export interface RunningRequest {
   readonly head: RequestHead;
   readonly body: CallBody;
-  /** Names the start of the upstream. */
+  /** Identifies the process start of the upstream. */
   readonly start: string;
 }
 
-/** A request that was dispatched here and has not ended. */
+/** A request that was dispatched to the local upstream and has not ended. */
 export class RunningCall {
-  /** Retry tokens not handed to any call below just now. */
+  /** Retry tokens that are currently not lent to a child call. */
   retryTokens: number;
   private childCalls = 0;
 
   constructor(
     readonly context: CallContext,
     readonly route: CallRoute,
-    /** Clock time of its deadline, ms. */
+    /** Deadline, clock time in ms. */
     readonly deadlineAt: number,
-    /** Aborts when the request is given up. */
+    /** Aborts when the request is cancelled. */
     readonly signal: CancelSignal,
     readonly request?: RunningRequest,
   ) {
     this.retryTokens = context.retryTokens;
   }
 
-  /** Takes all free tokens for a call below; they come back by `returnTokens`. */
+  /** Takes all free tokens for a child call, which returns those it did not use by `returnTokens`. */
   takeTokens(): number {
     const taken = this.retryTokens;
     this.retryTokens = 0;
     return taken;
   }
 
-  /** Gives unused tokens back; ones that got lost stay spent. */
+  /** Returns unused tokens. Tokens of a child call that was lost stay spent. */
   returnTokens(unused: number): void {
     this.retryTokens += unused;
-    invariant(this.retryTokens <= this.context.retryTokens, 'Calls: retry tokens came from nowhere.');
+    invariant(
+      this.retryTokens <= this.context.retryTokens,
+      'Calls: more retry tokens were returned than taken.',
+    );
   }
 
-  /** Whether it has made calls, as far as is known here. */
+  /** Whether it has made calls, as far as this daemon has observed. */
   get hasCalled(): boolean {
     return this.childCalls > 0;
   }
 
-  /** Counts a call that it makes; gives how many were made for the root before, as far as is known here. */
+  /** Counts a call that it makes; returns how many calls this daemon knows to have been made for the root request before it. */
   nextCall(): number {
     return this.context.callsBefore + this.childCalls++;
   }
 
-  /** Id of a call below: the same for the same key, so that a repeat is known for one. */
+  /** The id of a child call. The same key gives the same id, so that a repeated call is recognised. */
   childId(key: string | undefined): string {
     return `${this.context.requestId}/${key ?? `n${String(++this.childCalls)}`}`;
   }
@@ -71,12 +74,12 @@
     return this.calls.get(requestId);
   }
 
-  /** What runs at a start of an upstream, the latest last. */
+  /** The requests that run at a process start of an upstream, the latest last. */
   at(start: string): RunningRequest[] {
     return [...this.calls.values()].flatMap(({ request }) => (request?.start === start ? [request] : []));
   }
 
-  /** Registers the call until the result is disposed of. */
+  /** Registers the call until the returned object is disposed. */
   enter(call: RunningCall): Disposable {
     const { requestId } = call.context;
     this.calls.set(requestId, call);
--- a/packages/calls/src/senders.ts
+++ b/packages/calls/src/senders.ts
@@ -1,45 +1,45 @@
-/** Decides whose a request is, or why it can't be taken. */
+/** Authenticates requests: finds the organisation of a request by its key, or why it is refused. */
 import { type Random } from '@cleatquay/clock';
 import { type Credentials, type Keyring, type Organisation } from '@cleatquay/organisations';
 import { type Refusal, refusalOf } from '@cleatquay/protocol';
 
-/** Proofs come several times a second where the platform or a peer that reaches it can be reached; cuts last seconds. */
+/** Freshness proofs arrive several times a second while the platform, or a peer that can reach it, is reachable; network partitions last seconds. */
 const REVOCATIONS_UNPROVEN_RETRY_AFTER_MS = 1000;
 
-/** What the decision rests on. */
+/** The inputs of the authentication of a request. */
 export interface AuthenticationRequest {
   readonly credentials: Credentials;
-  /** The keys of the configuration; undefined where requests need none. */
+  /** The keys of the configuration; undefined if requests need no key. */
   readonly keyring: Keyring | undefined;
-  /** Whether its route needs no key. */
+  /** Whether the route needs no key. */
   readonly isPublic: boolean;
-  /** Whether it is a call of an upstream, for a request that runs there. */
+  /** Whether it is a call that an upstream makes for a request that runs there. */
   readonly isCall: boolean;
 }
 
-/** Whose a request is; no organisation's if it needs no key. */
+/** The authenticated party; without an organisation if the request needs no key. */
 export interface Principal {
   readonly organisation: Organisation | undefined;
 }
 
-/** What it needs of its daemon. */
+/** Dependencies on the daemon. */
 export interface SendersOptions {
   readonly random: Random;
-  /** Whether it is known that no key was taken away that the configuration in force still has. */
+  /** Whether the active configuration is known to hold no key that has been revoked. */
   readonly areKeysProven: () => boolean;
 }
 
 const ANONYMOUS: Principal = { organisation: undefined };
 
-/** Finds senders by their keys. */
+/** Authenticates requests by their keys. */
 export class Senders {
   constructor(private readonly options: SendersOptions) {}
 
   /**
-   * A call of an upstream bears no key: it is part of a request that did. A key that is shown has to be good, also where none is needed.
+   * A call of an upstream bears no key, since it is part of a request that did. A key that is presented has to be valid, even where none is needed.
    *
-   * That keys are proven is asked once, when the request enters: it was sent before, so that it is within the bound however long it waits from then on.
-   * Before it is known, an unknown key may be a new one.
+   * Revocations are checked once, at the ingress: the request was sent before that, so that it is within the bound for revocations however long it
+   * waits afterwards. While revocations are not known to be current, an unknown key may be a new one, so that it is not refused as unknown.
    */
   of({ credentials, keyring, isPublic, isCall }: AuthenticationRequest): Principal | Refusal {
     if (!keyring) return ANONYMOUS;
@@ -54,7 +54,7 @@
   }
 
   private revocationsUnproven(): Refusal {
-    const message = 'This daemon has not heard for too long which keys were taken away.';
+    const message = 'This daemon has received no current list of revoked keys for too long.';
     const retryAfterMs = Math.round(REVOCATIONS_UNPROVEN_RETRY_AFTER_MS * (0.5 + this.options.random()));
     return refusalOf('keysUnproven', message, { retryAfterMs });
   }
--- a/packages/calls/src/tryMemory.ts
+++ b/packages/calls/src/tryMemory.ts
@@ -1,6 +1,6 @@
 /**
- * What this daemon did with non-idempotent tries, so that it can tell a sender that lost contact,
- * and can promise never to dispatch a try from now on.
+ * The state of non-idempotent attempts at this daemon. It lets the daemon report how an attempt went to a sender that lost
+ * the connection, and seal an attempt: bar it from dispatch for good.
  */
 import { Cancellation, type Clock, NOT_NEEDED } from '@cleatquay/clock';
 import { type Refusal, type SealAnswer, type SealRequest, refusalOf } from '@cleatquay/protocol';
@@ -16,12 +16,12 @@
   try: number;
   state: AttemptState;
   response: RecordedAnswer | undefined;
-  /** Settles when a dispatched try has ended. */
+  /** Resolves when a dispatched attempt has ended. */
   readonly ended: Promise<void>;
   readonly end: () => void;
 }
 
-/** Tries by request id, each kept for the lifetime of an id. */
+/** Attempts by request id, each stored for the lifetime of an id. */
 export class TryMemory {
   private readonly records = new Map<string, AttemptRecord>();
   private responseBytes = 0;
@@ -35,27 +35,30 @@
     return this.records.size;
   }
 
-  /** Takes up a try before its admission, or says why it must not run. */
+  /** Registers an attempt before its admission, or returns the reason why it must not run. */
   begin(requestId: string, attempt: number): Refusal | undefined {
     const known = this.records.get(requestId);
-    if (known?.state === 'sealed') return refusalOf('sealed', 'The sender gave this try up.');
+    if (known?.state === 'sealed') return refusalOf('sealed', 'The sender sealed this attempt.');
     if (known && known.state !== 'refused') {
-      return refusalOf('contactLost', 'The request was sent here twice; one try of it runs or ran.');
+      return refusalOf(
+        'contactLost',
+        'The request was received twice; another attempt of it is running or has run.',
+      );
     }
     if (this.records.size >= MAX_RECORDS || this.responseBytes >= MAX_RESPONSE_BYTES) {
-      return refusalOf('memoryFull', 'Too many requests are remembered.', { elsewhereHelps: true });
+      return refusalOf('memoryFull', 'Too many request results are stored.', { elsewhereHelps: true });
     }
     this.add(requestId, attempt, 'admitting');
     return undefined;
   }
 
-  /** The try was not admitted. */
+  /** The attempt was not admitted. */
   refused(requestId: string): void {
     const record = this.records.get(requestId);
     if (record?.state === 'admitting') record.state = 'refused';
   }
 
-  /** Last step before the dispatch; false if the try was sealed meanwhile. */
+  /** Marks the attempt as dispatched, right before it is; returns false if it has been sealed. */
   dispatch(requestId: string): boolean {
     const record = this.records.get(requestId);
     if (record?.state !== 'admitting') return false;
@@ -63,7 +66,7 @@
     return true;
   }
 
-  /** The dispatched try ended; without an answer nobody knows how. */
+  /** The dispatched attempt ended; without a response, its outcome is unknown. */
   ended(requestId: string, response: RecordedAnswer | undefined): void {
     const record = this.records.get(requestId);
     if (record?.state !== 'dispatched') return;
@@ -73,7 +76,7 @@
     record.end();
   }
 
-  /** The connection to the upstream could not be made, so that nothing was dispatched after all. */
+  /** The dispatched attempt certainly did not run: no connection to the upstream, or the upstream refused it. */
   notDispatched(requestId: string): void {
     const record = this.records.get(requestId);
     if (record?.state !== 'dispatched') return;
@@ -81,7 +84,7 @@
     record.end();
   }
 
-  /** Forbids the try if it was not dispatched, and waits a while for it if it runs. */
+  /** Seals the attempt if it was not dispatched; if it is running, waits up to `waitMs` for its end. */
   async seal(request: SealRequest): Promise<SealAnswer> {
     const record = this.records.get(request.requestId) ?? this.add(request.requestId, request.try, 'sealed');
     if (record.state === 'admitting' || record.state === 'refused') record.state = 'sealed';
--- a/packages/calls/src/upstreamEnds.ts
+++ b/packages/calls/src/upstreamEnds.ts
@@ -1,6 +1,6 @@
 /**
- * Tells an upstream that has ended from one that only broke an answer off: nothing listens at its address any more. What ran there when
- * the first connection broke is what it may have ended under.
+ * Distinguishes an upstream that crashed from one that only truncated a response: after a crash, nothing listens at its address. The requests that
+ * were in flight when the first connection failed are the ones that it may have crashed under.
  */
 import { type Clock } from '@cleatquay/clock';
 import { type SuspectRequest, fingerprintOf } from '@cleatquay/quarantine';
@@ -9,40 +9,40 @@
 import { type RunningCalls, type RunningRequest } from './runningCalls.js';
 import { type LocalUpstream } from './localUpstream.js';
 
-/** An upstream on the same VM that takes longer to let a connection in hasn't ended, as far as is known, ms. */
+/** An upstream on the same VM that neither accepts nor refuses a connection within this time counts as running. */
 const CONNECT_TIMEOUT_MS = 100;
-/** Requests that are told of one end, those that began last: eight bytes each, so that they fit into one datagram. */
+/** Limit of the requests reported for one crash, the latest ones. Each takes eight bytes, so that all fit into one datagram. */
 const MAX_REPORTED_REQUESTS = 64;
 
-/** The end of an upstream, and what ran there. */
+/** The crash of an upstream, and the requests that were in flight there. */
 export interface UpstreamEnd {
-  /** Names the start that has ended. */
+  /** Identifies the process start that crashed. */
   readonly start: string;
   readonly requests: readonly SuspectRequest[];
 }
 
-/** What this needs of its daemon. */
+/** Dependencies on the daemon. */
 export interface UpstreamEndsOptions {
   readonly clock: Clock;
   readonly running: RunningCalls;
-  /** Told once of each end, before those who asked are. */
-  readonly onEnd: (end: UpstreamEnd) => Promise<void>;
+  /** Called once per crash, before the checks that found it resolve. */
+  readonly onEnd: (crash: UpstreamEnd) => Promise<void>;
 }
 
-/** Looks at upstreams whose connections break. */
+/** Checks upstreams whose connections fail. */
 export class UpstreamEnds {
   private readonly pendingChecks = new Map<string, Promise<UpstreamEnd | undefined>>();
 
   constructor(private readonly options: UpstreamEndsOptions) {}
 
-  /** A connection of the upstream broke. Resolves with its end, or with undefined if it hasn't ended. */
+  /** Checks an upstream of which a connection failed. Resolves with its crash, or with undefined if it has not crashed. */
   brokeOff(upstream: Pick<LocalUpstream, 'start' | 'address'>): Promise<UpstreamEnd | undefined> {
     const { start } = upstream;
-    const known = this.pendingChecks.get(start);
-    if (known) return known;
-    const looked = this.checkAddress(upstream).finally(() => this.pendingChecks.delete(start));
-    this.pendingChecks.set(start, looked);
-    return looked;
+    const pending = this.pendingChecks.get(start);
+    if (pending) return pending;
+    const check = this.checkAddress(upstream).finally(() => this.pendingChecks.delete(start));
+    this.pendingChecks.set(start, check);
+    return check;
   }
 
   private async checkAddress({
@@ -50,11 +50,11 @@
     address,
   }: Pick<LocalUpstream, 'start' | 'address'>): Promise<UpstreamEnd | undefined> {
     const { clock, running, onEnd } = this.options;
-    const interrupted = running.at(start).slice(-MAX_REPORTED_REQUESTS);
+    const inFlight = running.at(start).slice(-MAX_REPORTED_REQUESTS);
     if (!(await refusesConnections(clock, address))) return undefined;
-    const end = { start, requests: interrupted.flatMap(suspectsOf) };
-    await onEnd(end);
-    return end;
+    const crash = { start, requests: inFlight.flatMap(suspectsOf) };
+    await onEnd(crash);
+    return crash;
   }
 }
 
@@ -64,7 +64,7 @@
   return fingerprint === undefined ? [] : [{ method, path, fingerprint }];
 }
 
-/** The fingerprint of a request that came from another daemon; undefined for a stream of which that one didn't tell it. */
+/** The fingerprint of a request from another daemon; undefined for a streamed body if that daemon did not send the fingerprint. */
 export function fingerprintAt(
   head: RunningRequest['head'],
   body: RunningRequest['body'],
@@ -73,7 +73,7 @@
   return Buffer.isBuffer(body) ? fingerprintOf(head, body) : undefined;
 }
 
-/** Whether nothing listens there. An address that doesn't answer at all says nothing. */
+/** Whether the address refuses connections, so that nothing listens there. An address that does not respond counts as listening. */
 function refusesConnections(clock: Clock, address: string): Promise<boolean> {
   const { ip, port } = splitAddress(address);
   return new Promise(resolve => {
@@ -83,7 +83,7 @@
       socket.destroy();
       resolve(refuses);
     };
-    // In a process that is behind, the refusal may be waiting to be read in the turn in which the timer goes off.
+    // With event-loop lag, the refusal may still be unread in the iteration in which the timer fires, so that one more iteration is needed.
     const timer = clock.after(CONNECT_TIMEOUT_MS, () => setImmediate(() => settle(false)));
     socket.on('connect', () => settle(false));
     socket.on('error', ({ code }: NodeJS.ErrnoException) => settle(code === 'ECONNREFUSED'));
--- a/tests/fleetRetryBudget.spec.ts
+++ b/tests/fleetRetryBudget.spec.ts
@@ -12,7 +12,7 @@
       daemon: fc.nat(DAEMONS - 1),
       requests: fc.nat(20),
       tries: fc.nat(20),
-      before: fc.constantFrom('not-run' as const, 'may-have-run' as const),
+      previousOutcome: fc.constantFrom('not-run' as const, 'may-have-run' as const),
       callsBefore: fc.nat(4),
       /** Requests among so many that repeat what the service had before. */
       repeatEvery: fc.integer({ min: 10, max: 50 }),
@@ -26,13 +26,13 @@
           () => new FleetRetryBudget(clock, BOUNDS, () => DAEMONS),
         );
         const events: { at: number; requests: number; retries: number }[] = [];
-        for (const { daemon, requests, tries, before, callsBefore, repeatEvery, pauseMs } of steps) {
+        for (const { daemon, requests, tries, previousOutcome, callsBefore, repeatEvery, pauseMs } of steps) {
           clock.advance(pauseMs);
           const budget = budgets[daemon]!;
           for (let i = 0; i < requests; i++) budget.requested('s', false);
           let retries = Math.floor(requests / repeatEvery);
           for (let i = 0; i < retries; i++) budget.requested('s', true);
-          for (let i = 0; i < tries; i++) if (budget.take('s', { before, callsBefore })) retries++;
+          for (let i = 0; i < tries; i++) if (budget.take('s', { previousOutcome, callsBefore })) retries++;
           events.push({ at: clock.now(), requests, retries });
         }
         for (const { at } of events) {
@@ -50,8 +50,8 @@
 
   it('is there to be used by a daemon alone', () => {
     const budget = new FleetRetryBudget(new ManualClock(), BOUNDS, () => 1);
-    expect(budget.take('s', { before: 'not-run', callsBefore: 0 })).to.equal(true);
-    expect(budget.take('s', { before: 'may-have-run', callsBefore: 1 })).to.equal(true);
+    expect(budget.take('s', { previousOutcome: 'not-run', callsBefore: 0 })).to.equal(true);
+    expect(budget.take('s', { previousOutcome: 'may-have-run', callsBefore: 1 })).to.equal(true);
   });
 
   it('is spent on whatever asks first when there are enough repeats for all', () => {
@@ -59,7 +59,8 @@
     for (let i = 0; i < 1000; i++) budget.requested('s', false);
     const taken = (callsBefore: number) => {
       let count = 0;
-      for (let i = 0; i < 200; i++) if (budget.take('s', { before: 'not-run', callsBefore })) count++;
+      for (let i = 0; i < 200; i++)
+        if (budget.take('s', { previousOutcome: 'not-run', callsBefore })) count++;
       return count;
     };
     expect(taken(0)).to.equal(160);
@@ -76,7 +77,7 @@
     const taken = [0, 0, 0, 0];
     for (let i = 0; i < 400; i++) {
       const callsBefore = i % taken.length;
-      if (budget.take('s', { before: 'not-run', callsBefore })) taken[callsBefore]!++;
+      if (budget.take('s', { previousOutcome: 'not-run', callsBefore })) taken[callsBefore]!++;
     }
     expect(taken[0]).to.be.at.most(15);
     expect(taken[3]).to.be.at.least(50);
@@ -86,6 +87,6 @@
     const budget = new FleetRetryBudget(new ManualClock(), { ...BOUNDS, extra: 0 }, () => 1);
     for (let i = 0; i < 1000; i++) budget.requested('s', false);
     for (let i = 0; i < 160; i++) budget.requested('s', true);
-    expect(budget.take('s', { before: 'not-run', callsBefore: 1 })).to.equal(false);
+    expect(budget.take('s', { previousOutcome: 'not-run', callsBefore: 1 })).to.equal(false);
   });
 });
--- a/tests/nextTry.spec.ts
+++ b/tests/nextTry.spec.ts
@@ -31,8 +31,8 @@
       fc.property(failedTries, failed => {
         let asked = 0;
         const next = nextTry(failed, () => ++asked > 0);
-        if (next === 'repeat') expect(failed.tokens).to.be.above(0);
-        if (next === 'move') expect([failed.refusal.outcome, asked]).to.deep.equal(['not-run', 0]);
+        if (next === 'retry') expect(failed.tokens).to.be.above(0);
+        if (next === 'reroute') expect([failed.refusal.outcome, asked]).to.deep.equal(['not-run', 0]);
         if (asked > 0) expect(nextTry(failed, () => false)).to.equal('none');
       }),
     );
