--- a/tests/nextTry.spec.ts
+++ b/tests/nextTry.spec.ts
@@ -4,8 +4,8 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 
-describe('the next try of a call', () => {
-  const failedTries: fc.Arbitrary<FailedTry> = fc.record({
+describe('the decision on a retry', () => {
+  const retryContexts: fc.Arbitrary<FailedTry> = fc.record({
     refusal: fc
       .record({
         result: fc.constantFrom(...(Object.keys(resultCodes) as ResultName[])),
@@ -17,23 +17,25 @@
     reroutes: fc.nat(3),
   });
 
-  it('never follows one that may have run, when the request may run only once', () => {
+  it('is never to send a non-idempotent request again after an attempt that may have run', () => {
     fc.assert(
-      fc.property(failedTries, failed => {
-        const mayHaveRun = failed.refusal.outcome !== 'not-run';
-        if (mayHaveRun && !failed.idempotent) expect(nextTry(failed, () => true)).to.equal('none');
+      fc.property(retryContexts, retryContext => {
+        const mayHaveRun = retryContext.refusal.outcome !== 'not-run';
+        if (mayHaveRun && !retryContext.idempotent)
+          expect(nextTry(retryContext, () => true)).to.equal('none');
       }),
     );
   });
 
-  it('costs a token and a retry of the budget wherever an upstream has seen the call', () => {
+  it('charges a token and a retry of the budget once the call has reached an upstream', () => {
     fc.assert(
-      fc.property(failedTries, failed => {
-        let asked = 0;
-        const next = nextTry(failed, () => ++asked > 0);
-        if (next === 'retry') expect(failed.tokens).to.be.above(0);
-        if (next === 'reroute') expect([failed.refusal.outcome, asked]).to.deep.equal(['not-run', 0]);
-        if (asked > 0) expect(nextTry(failed, () => false)).to.equal('none');
+      fc.property(retryContexts, retryContext => {
+        let budgetRequests = 0;
+        const next = nextTry(retryContext, () => ++budgetRequests > 0);
+        if (next === 'retry') expect(retryContext.tokens).to.be.above(0);
+        if (next === 'reroute')
+          expect([retryContext.refusal.outcome, budgetRequests]).to.deep.equal(['not-run', 0]);
+        if (budgetRequests > 0) expect(nextTry(retryContext, () => false)).to.equal('none');
       }),
     );
   });
--- a/tests/relay.spec.ts
+++ b/tests/relay.spec.ts
@@ -39,11 +39,11 @@
   parentId: undefined,
 };
 
-describe('a request that may run only once, at its first daemon', () => {
+describe('a non-idempotent request at its ingress daemon', () => {
   let clock: ManualClock;
-  let given: CancelSignal[];
+  let forwardedSignals: CancelSignal[];
 
-  /** A relay whose forwarder never answers, in a daemon that ends after so many ms. */
+  /** A relay whose forwarder responds only when cancelled, in a daemon that shuts down in `timeLeftMs`. */
   function relay(timeLeftMs = Number.POSITIVE_INFINITY): Relay {
     const limits = { headerBytes: 1000, bodyBytes: 1000, headerTimeoutMs: 1000, idleTimeoutMs: 1000 };
     const routes = new HostRoutes(
@@ -57,10 +57,10 @@
       _body: unknown,
       signal: CancelSignal,
     ) => {
-      given.push(signal);
+      forwardedSignals.push(signal);
       return new Promise<ReturnType<typeof answerOf>>(resolve => {
-        const left = () => resolve(answerOf(endOf(refusalOf('contactLost', 'Given up.'), 0)));
-        signal.addEventListener('abort', left);
+        const cancelled = () => resolve(answerOf(endOf(refusalOf('contactLost', 'Cancelled.'), 0)));
+        signal.addEventListener('abort', cancelled);
       });
     };
     return new Relay({
@@ -75,7 +75,7 @@
         clock,
         journal: new Journal(clock),
         quotas: () => {
-          throw new Error('Nobody has a quota here.');
+          throw new Error('No organisation has a quota in this test.');
         },
         counts: new OrganisationCounts(),
         proofAgeMs: () => 0,
@@ -90,32 +90,32 @@
 
   beforeEach(() => {
     clock = new ManualClock();
-    given = [];
+    forwardedSignals = [];
   });
 
-  it('is given up further on when its caller has left, so that it is not sent on after that', () => {
+  it('is cancelled downstream when its caller disconnects, so that it is not forwarded after that', () => {
     const caller = new Cancellation();
     void relay().handle(REQUEST, Buffer.alloc(0), caller);
-    expect(given[0]?.aborted).to.equal(false);
+    expect(forwardedSignals[0]?.aborted).to.equal(false);
     caller.abort(CALLER_LEFT);
-    expect(given[0]?.aborted).to.equal(true);
+    expect(forwardedSignals[0]?.aborted).to.equal(true);
   });
 
-  it('is refused, as not run, by a daemon that ends before the time of the request is up', async () => {
-    const answer = await relay(TIMEOUT_MS - 1).handle(REQUEST, Buffer.alloc(0), NEVER_CANCELLED);
-    expect(answer.first.refusal?.outcome).to.equal('not-run');
-    expect(given).to.deep.equal([]);
+  it('is refused, as not run, by a daemon that shuts down before the timeout of the request', async () => {
+    const response = await relay(TIMEOUT_MS - 1).handle(REQUEST, Buffer.alloc(0), NEVER_CANCELLED);
+    expect(response.first.refusal?.outcome).to.equal('not-run');
+    expect(forwardedSignals).to.deep.equal([]);
   });
 
-  it('is taken by a daemon that ends, as long as there is time for it', () => {
+  it('is accepted by a daemon that shuts down at the timeout of the request or later', () => {
     void relay(TIMEOUT_MS).handle(REQUEST, Buffer.alloc(0), NEVER_CANCELLED);
-    expect(given.length).to.equal(1);
+    expect(forwardedSignals.length).to.equal(1);
   });
 
-  it('is given up further on at the timeout, and its caller is told at once', async () => {
-    const answer = relay().handle(REQUEST, Buffer.alloc(0), NEVER_CANCELLED);
+  it('is cancelled downstream at the timeout, and its caller gets a response at once', async () => {
+    const response = relay().handle(REQUEST, Buffer.alloc(0), NEVER_CANCELLED);
     clock.advance(TIMEOUT_MS);
-    expect((await answer).first.refusal?.outcome).to.equal('unknown');
-    expect(given[0]?.aborted).to.equal(true);
+    expect((await response).first.refusal?.outcome).to.equal('unknown');
+    expect(forwardedSignals[0]?.aborted).to.equal(true);
   });
 });
--- a/tests/upstreamEnds.spec.ts
+++ b/tests/upstreamEnds.spec.ts
@@ -1,6 +1,6 @@
 /**
- * A daemon short of processor time took upstreams that had ended for ones that had broken an answer off: its timer for the look went off in the turn of
- * the event loop in which the refused connection was still to be read. What ran there was then suspected of nothing.
+ * Guards against a crashed upstream that is taken for one that truncated a response, so that the requests in flight there don't become suspects. With
+ * event-loop lag, the timer of the check could fire in the event loop iteration in which the refused connection was still unread.
  */
 import { RunningCalls, type UpstreamEnd, UpstreamEnds } from '@cleatquay/calls';
 import { SystemClock } from '@cleatquay/clock';
@@ -9,17 +9,17 @@
 import { HeldPorts } from './fixtures/heldPorts.js';
 
 const START = 'u@1';
-/** Longer than a look may take. */
+/** Longer than the timeout of the check. */
 const LAG_MS = 250;
 
-describe('an upstream whose connection broke', () => {
-  let told: UpstreamEnd[];
-  let ends: UpstreamEnds;
+describe('an upstream whose connection failed', () => {
+  let reported: UpstreamEnd[];
+  let detector: UpstreamEnds;
 
   beforeEach(() => {
-    told = [];
-    const onEnd = (end: UpstreamEnd) => Promise.resolve(void told.push(end));
-    ends = new UpstreamEnds({ clock: new SystemClock(), running: new RunningCalls(), onEnd });
+    reported = [];
+    const onEnd = (crash: UpstreamEnd) => Promise.resolve(void reported.push(crash));
+    detector = new UpstreamEnds({ clock: new SystemClock(), running: new RunningCalls(), onEnd });
   });
 
   const freeAddress = async () => {
@@ -29,26 +29,26 @@
     return `127.0.0.1:${String(port)}`;
   };
 
-  it('has ended if nothing listens there, and that is told once', async () => {
+  it('has crashed if nothing listens at its address, which is reported once', async () => {
     const address = await freeAddress();
-    const looks = [1, 2, 3].map(() => ends.brokeOff({ start: START, address }));
-    for (const end of await Promise.all(looks)) expect(end?.start).to.equal(START);
-    expect(told).to.have.length(1);
+    const checks = [1, 2, 3].map(() => detector.brokeOff({ start: START, address }));
+    for (const crash of await Promise.all(checks)) expect(crash?.start).to.equal(START);
+    expect(reported).to.have.length(1);
   });
 
-  it('has ended also where the daemon is behind with reading', async () => {
-    const look = ends.brokeOff({ start: START, address: await freeAddress() });
+  it('is found to have crashed despite event-loop lag', async () => {
+    const check = detector.brokeOff({ start: START, address: await freeAddress() });
     const until = performance.now() + LAG_MS;
     while (performance.now() < until);
-    expect((await look)?.start).to.equal(START);
+    expect((await check)?.start).to.equal(START);
   });
 
-  it('has not ended if it takes connections', async () => {
+  it('has not crashed if it accepts connections', async () => {
     const server: Server = createServer().listen(0, '127.0.0.1');
     await new Promise(resolve => server.once('listening', resolve));
     const address = `127.0.0.1:${String((server.address() as AddressInfo).port)}`;
-    expect(await ends.brokeOff({ start: START, address })).to.equal(undefined);
-    expect(told).to.have.length(0);
+    expect(await detector.brokeOff({ start: START, address })).to.equal(undefined);
+    expect(reported).to.have.length(0);
     server.close();
   });
 });
