--- a/tests/chains.spec.ts
+++ b/tests/chains.spec.ts
@@ -1,11 +1,11 @@
 import { expect } from 'chai';
 import { type ChainLoad, type ChainResult, type ScarceService, playChains } from './fixtures/chainLoad.js';
 
-const PLAY_MS = 8000;
-/** Shares differ by 0.05 between seeds; over two dozen, by 0.01. */
+const RUN_MS = 8000;
+/** Ratios vary by 0.05 between single seeds, and by 0.01 between sets of two dozen. */
 const SEEDS = Array.from({ length: 24 }, (_, index) => String(index + 1));
 const SERVICE: ScarceService = { upstreams: 3, slots: 36 };
-/** Room for as many calls at once as the service has slots: the demand of these is 1.29 times that. */
+/** Demands 1.29 times the concurrent calls that the service has slots for. */
 const CHAINS: ChainLoad = {
   name: 'chains',
   rank: 2,
@@ -38,21 +38,21 @@
 };
 const LOADS = [CHAINS, IMPORTANT_CHAINS, LONG_READS];
 
-/** Plays by the share that the service refuses: several tests look at one. */
-const plays = new Map<number, Promise<ChainResult[][]>>();
+/** Simulation runs by the ratio of calls that the service refuses; several tests share one. */
+const runs = new Map<number, Promise<ChainResult[][]>>();
 
-function playsOf(service: ScarceService): Promise<ChainResult[][]> {
+function runsWith(service: ScarceService): Promise<ChainResult[][]> {
   const shed = service.shed ?? 0;
-  let results = plays.get(shed);
+  let results = runs.get(shed);
   if (!results)
-    plays.set(shed, (results = Promise.all(SEEDS.map(seed => playChains(service, LOADS, PLAY_MS, seed)))));
+    runs.set(shed, (results = Promise.all(SEEDS.map(seed => playChains(service, LOADS, RUN_MS, seed)))));
   return results;
 }
 
-/** Shares of the requests of one kind, over all seeds. */
-async function sharesOf(index: number, service: ScarceService): Promise<ChainResult> {
+/** How the requests of one load ended, as ratios over all seeds. */
+async function ratiosOf(index: number, service: ScarceService): Promise<ChainResult> {
   const sum = { sent: 0, served: 0, refused: 0, wasted: 0 };
-  for (const results of await playsOf(service)) {
+  for (const results of await runsWith(service)) {
     const result = results[index]!;
     for (const name of Object.keys(sum) as (keyof ChainResult)[]) sum[name] += result[name];
   }
@@ -60,31 +60,31 @@
   return { sent: 1, served: served / sent, refused: refused / sent, wasted: wasted / sent };
 }
 
-describe('chains of calls to a service with too little room', () => {
-  it('are mostly turned away before work is done for them: 0.09 lost after work in place of 0.17', async () => {
-    const { served, wasted } = await sharesOf(0, SERVICE);
+describe('chains of calls to an overloaded service', () => {
+  it('are mostly refused before any work: 0.09 fail after work rather than 0.17', async () => {
+    const { served, wasted } = await ratiosOf(0, SERVICE);
     expect(wasted).to.be.below(0.13);
     expect(served).to.be.above(0.64);
   });
 
-  it('go before long requests of the same importance: 0.65 served in place of 0.60, long ones 0.53, not 0.64', async () => {
-    expect((await sharesOf(0, SERVICE)).served).to.be.above(0.635);
-    expect((await sharesOf(2, SERVICE)).served).to.be.above(0.5);
+  it('have precedence over long requests of the same priority: 0.65 served rather than 0.60, of long ones 0.53 rather than 0.64', async () => {
+    expect((await ratiosOf(0, SERVICE)).served).to.be.above(0.635);
+    expect((await ratiosOf(2, SERVICE)).served).to.be.above(0.5);
   });
 
-  it('are served whole where they are most important', async () => {
-    expect((await sharesOf(1, SERVICE)).served).to.be.above(0.99);
+  it('are served completely at the highest priority', async () => {
+    expect((await ratiosOf(1, SERVICE)).served).to.be.above(0.99);
   });
 
-  it('are repeated where most was done when 55% of all calls are refused: 0.08 served in place of 0.05', async () => {
-    expect((await sharesOf(0, { ...SERVICE, shed: 0.55 })).served).to.be.above(0.07);
+  it('are retried where most work would be lost when 55% of all calls are refused: 0.08 served rather than 0.05', async () => {
+    expect((await ratiosOf(0, { ...SERVICE, shed: 0.55 })).served).to.be.above(0.07);
   });
 
-  it('are served where they are most important when 12% are refused: 0.88 in place of 0.69', async () => {
-    expect((await sharesOf(1, { ...SERVICE, shed: 0.12 })).served).to.be.above(0.8);
+  it('are served at the highest priority when 12% of all calls are refused: 0.88 rather than 0.69', async () => {
+    expect((await ratiosOf(1, { ...SERVICE, shed: 0.12 })).served).to.be.above(0.8);
   });
 
-  it('keep the room of a service that refuses 12% whatever its load: 0.60 served in place of 0.42', async () => {
-    expect((await sharesOf(0, { ...SERVICE, shed: 0.12 })).served).to.be.above(0.55);
+  it('use the capacity of a service that refuses 12% regardless of its load: 0.60 served rather than 0.42', async () => {
+    expect((await ratiosOf(0, { ...SERVICE, shed: 0.12 })).served).to.be.above(0.55);
   });
 });
--- a/tests/fleetRetryBudget.spec.ts
+++ b/tests/fleetRetryBudget.spec.ts
@@ -7,15 +7,15 @@
 const DAEMONS = 15;
 
 describe('the retry budget of a fleet', () => {
-  it('holds the retries of all daemons together to their share, in any window', () => {
+  it('limits the retries of all daemons together to a ratio of the requests, in any window', () => {
     const step = fc.record({
       daemon: fc.nat(DAEMONS - 1),
       requests: fc.nat(20),
-      tries: fc.nat(20),
+      retryRequests: fc.nat(20),
       previousOutcome: fc.constantFrom('not-run' as const, 'may-have-run' as const),
       callsBefore: fc.nat(4),
-      /** Requests among so many that repeat what the service had before. */
-      repeatEvery: fc.integer({ min: 10, max: 50 }),
+      /** One of this many requests is a retry that the service had before. */
+      retryInterval: fc.integer({ min: 10, max: 50 }),
       pauseMs: fc.nat(1500),
     });
     fc.assert(
@@ -26,18 +26,27 @@
           () => new FleetRetryBudget(clock, BOUNDS, () => DAEMONS),
         );
         const events: { at: number; requests: number; retries: number }[] = [];
-        for (const { daemon, requests, tries, previousOutcome, callsBefore, repeatEvery, pauseMs } of steps) {
+        for (const {
+          daemon,
+          requests,
+          retryRequests,
+          previousOutcome,
+          callsBefore,
+          retryInterval,
+          pauseMs,
+        } of steps) {
           clock.advance(pauseMs);
           const budget = budgets[daemon]!;
           for (let i = 0; i < requests; i++) budget.requested('s', false);
-          let retries = Math.floor(requests / repeatEvery);
+          let retries = Math.floor(requests / retryInterval);
           for (let i = 0; i < retries; i++) budget.requested('s', true);
-          for (let i = 0; i < tries; i++) if (budget.take('s', { previousOutcome, callsBefore })) retries++;
+          for (let i = 0; i < retryRequests; i++)
+            if (budget.take('s', { previousOutcome, callsBefore })) retries++;
           events.push({ at: clock.now(), requests, retries });
         }
         for (const { at } of events) {
           const within = events.filter(e => e.at <= at && e.at > at - BOUNDS.windowMs);
-          // As the users count it: requests of this window or of the one before, whichever has more.
+          // The limit refers to the requests of this window or of the preceding one, whichever has more.
           const earlier = events.filter(e => e.at <= at - BOUNDS.windowMs && e.at > at - 2 * BOUNDS.windowMs);
           const sum = (list: typeof events, of: 'requests' | 'retries') =>
             list.reduce((n, e) => n + e[of], 0);
@@ -48,13 +57,13 @@
     );
   });
 
-  it('is there to be used by a daemon alone', () => {
+  it('allows retries to a single daemon', () => {
     const budget = new FleetRetryBudget(new ManualClock(), BOUNDS, () => 1);
     expect(budget.take('s', { previousOutcome: 'not-run', callsBefore: 0 })).to.equal(true);
     expect(budget.take('s', { previousOutcome: 'may-have-run', callsBefore: 1 })).to.equal(true);
   });
 
-  it('is spent on whatever asks first when there are enough repeats for all', () => {
+  it('is granted in the order of requests while there are enough retries for all', () => {
     const budget = new FleetRetryBudget(new ManualClock(), { ...BOUNDS, extra: 0 }, () => 1);
     for (let i = 0; i < 1000; i++) budget.requested('s', false);
     const taken = (callsBefore: number) => {
@@ -67,7 +76,7 @@
     expect(taken(3)).to.equal(0);
   });
 
-  it('keeps repeats for calls with others before them when there are too few for all', () => {
+  it('favours calls that have earlier calls of their request to lose when retries are scarce', () => {
     const clock = new ManualClock();
     const budget = new FleetRetryBudget(clock, { ...BOUNDS, extra: 0 }, () => 1);
     for (let second = 0; second < 10; second++) {
@@ -83,7 +92,7 @@
     expect(taken[3]).to.be.at.least(50);
   });
 
-  it('spends less by what runs that are repeats call again', () => {
+  it('is charged for calls that retried requests make again', () => {
     const budget = new FleetRetryBudget(new ManualClock(), { ...BOUNDS, extra: 0 }, () => 1);
     for (let i = 0; i < 1000; i++) budget.requested('s', false);
     for (let i = 0; i < 160; i++) budget.requested('s', true);
--- a/tests/retryBudget.spec.ts
+++ b/tests/retryBudget.spec.ts
@@ -23,12 +23,12 @@
 const NEVER = new AbortController().signal;
 const UPSTREAMS = 4;
 
-/** What the upstream of a try does: answers after calling deeper, refuses, breaks, or loses contact. */
-type Fate = 'answer' | 'refuse' | 'break' | 'lose' | 'lose-after-work';
+/** What happens to an attempt: a response after its calls, a refusal, a failure after its calls, or a lost connection before or after its calls. */
+type AttemptOutcome = 'answer' | 'refuse' | 'break' | 'lose' | 'lose-after-work';
 
-/** A chain of forwarders in one process, counting every try of every call. */
+/** A chain of forwarders in one process, which counts the attempts of all calls. */
 class Chain {
-  tries = 0;
+  attempts = 0;
   calls = 0;
   private readonly clock = new ManualClock();
   private readonly router: Router;
@@ -37,7 +37,7 @@
   constructor(
     private readonly depth: number,
     private readonly fanOut: number,
-    private readonly fates: readonly Fate[],
+    private readonly outcomes: readonly AttemptOutcome[],
   ) {
     const directory = new Directory();
     for (let i = 0; i < UPSTREAMS; i++) directory.update(member(i));
@@ -72,11 +72,11 @@
   }
 
   private async serve(context: CallContext): Promise<CallAnswer> {
-    this.tries++;
-    const fate = this.fates[this.next++ % this.fates.length];
-    if (fate === 'refuse')
+    this.attempts++;
+    const outcome = this.outcomes[this.next++ % this.outcomes.length];
+    if (outcome === 'refuse')
       return answerOf(endOf(refusalOf('overloaded', '', { elsewhereHelps: true }), context.retryTokens));
-    if (fate === 'lose') throw new LostContact('gone', false);
+    if (outcome === 'lose') throw new LostContact('gone', false);
     const running = new RunningCall(context, ROUTE, 1e9, NEVER);
     for (let i = 0; i < this.fanOut && context.depth < this.depth; i++) {
       const child = await this.call({
@@ -86,8 +86,8 @@
       });
       running.returnTokens(child?.unusedRetryTokens ?? 0);
     }
-    if (fate === 'lose-after-work') throw new LostContact('gone', false);
-    if (fate === 'break') {
+    if (outcome === 'lose-after-work') throw new LostContact('gone', false);
+    if (outcome === 'break') {
       const refusal = refusalOf('upstreamBroke', '', { elsewhereHelps: true });
       return answerOf(endOf(refusal, running.retryTokens));
     }
@@ -137,42 +137,46 @@
 }
 
 describe('the retry budget', () => {
-  it('bounds the tries of one client request over the whole chain, for any depth, fan-out and failures', async () => {
-    const fate = fc.constantFrom<Fate>('answer', 'refuse', 'break', 'lose', 'lose-after-work');
+  it('limits the attempts for one client request over the whole chain, for any depth, fan-out and failures', async () => {
+    const outcome = fc.constantFrom<AttemptOutcome>('answer', 'refuse', 'break', 'lose', 'lose-after-work');
     await fc.assert(
       fc.asyncProperty(
         fc.integer({ min: 1, max: 7 }),
         fc.integer({ min: 1, max: 3 }),
         fc.integer({ min: 0, max: 8 }),
-        fc.array(fate, { minLength: 1, maxLength: 40 }),
-        async (depth, fanOut, budget, fates) => {
-          const chain = new Chain(depth, depth > 4 ? 1 : fanOut, fates);
+        fc.array(outcome, { minLength: 1, maxLength: 40 }),
+        async (depth, fanOut, budget, outcomes) => {
+          const chain = new Chain(depth, depth > 4 ? 1 : fanOut, outcomes);
           const last = await chain.run(budget);
-          expect(chain.tries - chain.calls, 'tries beyond the first of each call').to.be.at.most(budget);
-          expect(last?.unusedRetryTokens, 'tokens left').to.be.at.most(budget - (chain.tries - chain.calls));
+          expect(chain.attempts - chain.calls, 'attempts beyond the first of each call').to.be.at.most(
+            budget,
+          );
+          expect(last?.unusedRetryTokens, 'tokens left').to.be.at.most(
+            budget - (chain.attempts - chain.calls),
+          );
         },
       ),
       { numRuns: 300 },
     );
   });
 
-  it('never ends in "not run" when one of the tries may have run', async () => {
-    const fate = fc.constantFrom<Fate>('refuse', 'break', 'lose');
+  it('never reports "not run" when one of the attempts may have run', async () => {
+    const outcome = fc.constantFrom<AttemptOutcome>('refuse', 'break', 'lose');
     await fc.assert(
-      fc.asyncProperty(fc.array(fate, { minLength: 1, maxLength: 6 }), async fates => {
-        const chain = new Chain(1, 1, fates);
+      fc.asyncProperty(fc.array(outcome, { minLength: 1, maxLength: 6 }), async outcomes => {
+        const chain = new Chain(1, 1, outcomes);
         const last = await chain.run(3);
-        const tried = Array.from({ length: chain.tries }, (_, i) => fates[i % fates.length]);
+        const tried = Array.from({ length: chain.attempts }, (_, i) => outcomes[i % outcomes.length]);
         const ranNowhere = tried.every(f => f === 'refuse');
         expect(last?.refusal?.outcome === 'not-run', tried.join(', ')).to.equal(ranNowhere);
       }),
     );
   });
 
-  it('is there to be used: a call refused by one upstream is answered by another', async () => {
+  it('allows retries: a call refused by one upstream is answered by another', async () => {
     const chain = new Chain(3, 1, ['answer', 'refuse', 'answer', 'answer']);
     const last = await chain.run(3);
     expect(last?.end).to.not.equal(undefined);
-    expect(chain.tries).to.equal(4);
+    expect(chain.attempts).to.equal(4);
   });
 });
