--- a/packages/calls/src/upstreamSide.ts
+++ b/packages/calls/src/upstreamSide.ts
@@ -355,7 +355,7 @@
     if (isGivenUp) return refusalOf(result, `The request was cancelled. ${(signal.reason as Error).message}`);
     if (isMisplaced) return refusalOf(result, error.message, { elsewhereHelps: true });
     if (!end)
-      return refusalOf(result, 'The connection to the upstream closed before the response was complete.', {
+      return refusalOf(result, 'The upstream failed before its response was complete.', {
         elsewhereHelps: true,
       });
     upstream.refusedConnection();
