--- a/packages/calls/src/entry.ts
+++ b/packages/calls/src/entry.ts
@@ -213,7 +213,7 @@
     }
     await body.prepare();
     const lifetimeMs = this.options.graph()?.file.requestIdLifetimeMs ?? 0;
-    yield* home.once(context.requestId, lifetimeMs, context.remainingMs, signal, () => start(NEVER));
+    yield* home.runOnce(context.requestId, lifetimeMs, context.remainingMs, signal, () => start(NEVER));
   }
 
   /** Makes a call with all free retry tokens of its parent, and returns the unused ones to the parent. */
@@ -309,7 +309,7 @@
       this.forwardWithinQuota(organisation, context, c =>
         forwarder.forward(route, { ...head, context: c }, c, body, NEVER),
       );
-    yield* home.once(requestId, Math.max(1, lifetimeMs), remainingMs, call.signal, start);
+    yield* home.runOnce(requestId, Math.max(1, lifetimeMs), remainingMs, call.signal, start);
   }
 
   private async *forwardToHome(call: AuthorizedRequest, home: string): AsyncGenerator<AnswerPart> {
--- a/packages/calls/src/home.ts
+++ b/packages/calls/src/home.ts
@@ -17,7 +17,7 @@
 
 interface RequestRecord {
   result: RequestResult | undefined;
-  readonly ended: Promise<RequestResult>;
+  readonly whenEnded: Promise<RequestResult>;
 }
 
 /** Requests whose ids this daemon issued, by id. */
@@ -52,7 +52,7 @@
    * Calls `start` unless the id has a record, and yields the result of the request either way. An abort of `signal` only
    * ends the wait; `start` continues. An id that was reported as not run stays so: it never runs after that.
    */
-  async *once(
+  async *runOnce(
     id: string,
     lifetimeMs: number,
     waitMs: number,
@@ -75,16 +75,16 @@
     const stop = () => waited.abort(NOT_NEEDED);
     signal.addEventListener('abort', stop, { once: true });
     const timeout = this.clock.sleep(waitMs, waited.signal).then(() => undefined);
-    const result = await Promise.race([record.ended, timeout]);
+    const result = await Promise.race([record.whenEnded, timeout]);
     signal.removeEventListener('abort', stop);
     waited.abort(NOT_NEEDED);
     return result;
   }
 
   private startRequest(id: string, lifetimeMs: number, start: () => Promise<CallAnswer>): RequestRecord {
-    const ended = this.hasRoom ? this.run(start) : Promise.resolve(memoryFull());
-    const record: RequestRecord = { result: undefined, ended };
-    void ended.then(result => {
+    const whenEnded = this.hasRoom ? this.run(start) : Promise.resolve(memoryFull());
+    const record: RequestRecord = { result: undefined, whenEnded };
+    void whenEnded.then(result => {
       invariant(record.result === undefined, 'RequestDeduplicator: a request completed twice.');
       record.result = result;
       if (result.kind === 'answered') this.responseBytes += result.response.body.length;
--- a/packages/calls/src/journal.ts
+++ b/packages/calls/src/journal.ts
@@ -53,7 +53,7 @@
   }
 
   /** The request has ended at this daemon; its decisions are logged if it failed or belongs to the sample. */
-  ended(requestId: string, isFailed: boolean): void {
+  requestEnded(requestId: string, isFailed: boolean): void {
     if (!this.sink || !(isFailed || crc32(requestId) % SAMPLE_INTERVAL === 0)) return;
     this.sink(requestId, this.toDecisions(this.byRequest.get(requestId) ?? []));
   }
--- a/packages/calls/src/requestNotes.ts
+++ b/packages/calls/src/requestNotes.ts
@@ -13,5 +13,5 @@
     const { code, outcome, message, retryAfterMs } = refusal;
     journal.note(requestId, 'Refused or failed.', { code, outcome, why: message, retryAfterMs, tookMs });
   } else journal.note(requestId, 'Answered.', { status: head?.status ?? 0, tookMs });
-  journal.ended(requestId, refusal !== undefined || (head?.status ?? 0) >= MIN_SERVER_ERROR_STATUS);
+  journal.requestEnded(requestId, refusal !== undefined || (head?.status ?? 0) >= MIN_SERVER_ERROR_STATUS);
 }
--- a/packages/calls/src/runningCalls.ts
+++ b/packages/calls/src/runningCalls.ts
@@ -75,7 +75,7 @@
   }
 
   /** The requests that run at a process start of an upstream, the latest last. */
-  at(start: string): RunningRequest[] {
+  requestsAt(start: string): RunningRequest[] {
     return [...this.calls.values()].flatMap(({ request }) => (request?.start === start ? [request] : []));
   }
 
--- a/packages/calls/src/tryMemory.ts
+++ b/packages/calls/src/tryMemory.ts
@@ -17,7 +17,7 @@
   state: AttemptState;
   response: RecordedAnswer | undefined;
   /** Resolves when a dispatched attempt has ended. */
-  readonly ended: Promise<void>;
+  readonly whenEnded: Promise<void>;
   readonly end: () => void;
 }
 
@@ -53,7 +53,7 @@
   }
 
   /** The attempt was not admitted. */
-  refused(requestId: string): void {
+  markRefused(requestId: string): void {
     const record = this.records.get(requestId);
     if (record?.state === 'admitting') record.state = 'refused';
   }
@@ -67,7 +67,7 @@
   }
 
   /** The dispatched attempt ended; without a response, its outcome is unknown. */
-  ended(requestId: string, response: RecordedAnswer | undefined): void {
+  markEnded(requestId: string, response: RecordedAnswer | undefined): void {
     const record = this.records.get(requestId);
     if (record?.state !== 'dispatched') return;
     record.state = response ? 'answered' : 'lost';
@@ -94,14 +94,14 @@
 
   private async waitFor(record: AttemptRecord, waitMs: number): Promise<void> {
     const waited = new Cancellation();
-    await Promise.race([record.ended, this.clock.sleep(waitMs, waited.signal)]);
+    await Promise.race([record.whenEnded, this.clock.sleep(waitMs, waited.signal)]);
     waited.abort(NOT_NEEDED);
   }
 
   private add(requestId: string, attempt: number, state: AttemptState): AttemptRecord {
     let end: () => void = () => undefined;
-    const ended = new Promise<void>(resolve => (end = resolve));
-    const record: AttemptRecord = { try: attempt, state, response: undefined, ended, end };
+    const whenEnded = new Promise<void>(resolve => (end = resolve));
+    const record: AttemptRecord = { try: attempt, state, response: undefined, whenEnded, end };
     this.records.set(requestId, record);
     this.clock.after(this.lifetimeMs(), () => this.forget(requestId, record));
     return record;
--- a/packages/calls/src/upstreamEnds.ts
+++ b/packages/calls/src/upstreamEnds.ts
@@ -50,7 +50,7 @@
     address,
   }: Pick<LocalUpstream, 'start' | 'address'>): Promise<UpstreamEnd | undefined> {
     const { clock, running, onEnd } = this.options;
-    const inFlight = running.at(start).slice(-MAX_REPORTED_REQUESTS);
+    const inFlight = running.requestsAt(start).slice(-MAX_REPORTED_REQUESTS);
     if (!(await refusesConnections(clock, address))) return undefined;
     const crash = { start, requests: inFlight.flatMap(suspectsOf) };
     await onEnd(crash);
--- a/packages/calls/src/upstreamSide.ts
+++ b/packages/calls/src/upstreamSide.ts
@@ -135,7 +135,7 @@
       requestId,
       'Quarantined at the daemon of the upstream: other upstreams crashed while they ran it.',
     );
-    journal.ended(requestId, true);
+    journal.requestEnded(requestId, true);
     const retryAfterMs = quarantine.retryAfterMs(fingerprintAt(head, body) ?? '');
     return answerOf(endOf(quarantineRefusal(retryAfterMs), retryTokens));
   }
@@ -192,7 +192,7 @@
       permit.release('failed');
       return refusalOf('sealed', 'The sender sealed this attempt.');
     }
-    if (!route.idempotent) tries.refused(requestId);
+    if (!route.idempotent) tries.markRefused(requestId);
     const { inFlight, queued, limit, admissionLevel } = upstream.admission.load();
     const { perSecond } = upstream.admission.rate;
     const facts = {
@@ -204,7 +204,7 @@
       ...(perSecond !== undefined && { requestsPerSecond: perSecond }),
     };
     journal.note(requestId, 'Not admitted.', { result: resultByCode(permit.code), ...facts });
-    journal.ended(requestId, true);
+    journal.requestEnded(requestId, true);
     return permit;
   }
 
@@ -236,7 +236,7 @@
       if (!call.hasCalled) upstream.admission.limit.ran(route.name, permit.share, tookMs);
       const waitedMs = Math.round(tookMs);
       journal.note(context.requestId, 'The upstream responded.', { status: statusOf(response), waitedMs });
-      journal.ended(context.requestId, false);
+      journal.requestEnded(context.requestId, false);
       if (!response.rest) finish();
       return response.rest
         ? { ...response, rest: this.finishingParts(admitted, call, response.rest, finish) }
@@ -244,7 +244,7 @@
     } catch (error) {
       const refusal = await this.refusalFor(error, cancellation.signal, admitted);
       finish();
-      if (!route.idempotent) this.options.tries.ended(context.requestId, undefined);
+      if (!route.idempotent) this.options.tries.markEnded(context.requestId, undefined);
       return answerOf(endOf(refusal, call.retryTokens, this.load(upstream, route, context)));
     }
   }
@@ -306,7 +306,7 @@
       return { load: this.load(upstream, route, context), unusedRetryTokens: call.retryTokens };
     });
     if (!route.idempotent && !response.rest)
-      tries.ended(context.requestId, { head: responseHead, body: response.first.body });
+      tries.markEnded(context.requestId, { head: responseHead, body: response.first.body });
     return response;
   }
 
@@ -330,7 +330,7 @@
     } finally {
       finish();
       // A seal request then reports that the attempt ended and its response is lost, since it was too long to be stored.
-      if (!route.idempotent) this.options.tries.ended(context.requestId, undefined);
+      if (!route.idempotent) this.options.tries.markEnded(context.requestId, undefined);
       this.options.journal.note(context.requestId, 'A long response ended.', { isWhole });
     }
   }
@@ -351,7 +351,7 @@
     const isMisplaced = error instanceof MisplacedAnswer;
     const end = isGivenUp || isMisplaced ? undefined : await this.options.ends.brokeOff(upstream);
     if (end) this.recordCrash(context.requestId, end, admitted);
-    journal.ended(context.requestId, true);
+    journal.requestEnded(context.requestId, true);
     if (isGivenUp) return refusalOf(result, `The request was cancelled. ${(signal.reason as Error).message}`);
     if (isMisplaced) return refusalOf(result, error.message, { elsewhereHelps: true });
     if (!end)
--- a/tests/tryMemory.spec.ts
+++ b/tests/tryMemory.spec.ts
@@ -16,9 +16,9 @@
         let sealed = false;
         for (const what of events) {
           if (what === 'begin') admitting = registry.begin('id', 1) === undefined;
-          if (what === 'refused') registry.refused('id');
-          if (what === 'answered') registry.ended('id', RESPONSE);
-          if (what === 'lost') registry.ended('id', undefined);
+          if (what === 'refused') registry.markRefused('id');
+          if (what === 'answered') registry.markEnded('id', RESPONSE);
+          if (what === 'lost') registry.markEnded('id', undefined);
           if (what === 'dispatch' && admitting && registry.dispatch('id')) {
             expect(sealed, 'dispatched after a seal').to.equal(false);
             expect(dispatched, 'dispatched twice').to.equal(false);
@@ -39,7 +39,7 @@
     const registry = new TryMemory(new ManualClock(), () => 1000);
     registry.begin('id', 1);
     registry.dispatch('id');
-    registry.ended('id', RESPONSE);
+    registry.markEnded('id', RESPONSE);
     const { state, body } = await registry.seal({ requestId: 'id', try: 1, targetEpoch: 0, waitMs: 0 });
     expect([state, body.toString()]).to.deep.equal(['ANSWERED', 'done']);
   });
