--- a/packages/calls/src/upstreamSide.ts
+++ b/packages/calls/src/upstreamSide.ts
@@ -116,8 +116,8 @@
   }
 
   /**
-   * Serves a suspect while few other suspects, or none, run at the upstream. Refuses it if it has been quarantined by then, which its sender may
-   * not know yet.
+   * Waits until a suspect may run with few other suspects, or none, at its upstream, and then serves it. Refuses it if it has been quarantined by
+   * then, which its sender may not know yet.
    */
   private async serveIsolated(call: IncomingCall, signal: CancelSignal): Promise<CallAnswer> {
     const { head, context, route, upstream } = call;
