--- a/packages/calls/src/entry.ts
+++ b/packages/calls/src/entry.ts
@@ -134,7 +134,13 @@
     }
     const organisation = this.options.graph()?.keyring?.get(head.context?.organisation ?? '');
     const context = this.rootContext(route, id, head.context?.remainingMs, organisation);
-    yield* this.atHome({ route, head: { ...head, context }, context, body: new ReplayBody(source), signal });
+    yield* this.runAsHome({
+      route,
+      head: { ...head, context },
+      context,
+      body: new ReplayBody(source),
+      signal,
+    });
   }
 
   private authenticate(
@@ -280,12 +286,12 @@
   private async *handleWithId(call: AuthorizedRequest): AsyncGenerator<AnswerPart> {
     const id = parseRequestId(call.context.requestId);
     if (!id) yield endOf(refusalOf('requestIdInvalid', 'Expected an id that a daemon issued.'), 0);
-    else if (id.home === this.options.self) yield* this.atHome(call);
+    else if (id.home === this.options.self) yield* this.runAsHome(call);
     else yield* this.forwardToHome(call, id.home);
   }
 
   /** Handles a request whose id this daemon issued: no other may start it. */
-  private async *atHome(call: AuthorizedRequest): AsyncGenerator<AnswerPart> {
+  private async *runAsHome(call: AuthorizedRequest): AsyncGenerator<AnswerPart> {
     const { clock, home, epoch, forwarder } = this.options;
     const { requestId, remainingMs } = call.context;
     const id = parseRequestId(requestId);
