--- a/packages/calls/src/quotaGate.ts
+++ b/packages/calls/src/quotaGate.ts
@@ -14,7 +14,7 @@
 import { type Journal } from './journal.js';
 import { MIN_SERVER_ERROR_STATUS, recordOutcome } from './requestNotes.js';
 
-/** The quota coordinator was unreachable; another daemon takes its place within a second. */
+/** No quota coordinator responded in time; if it is gone, another daemon takes its place within a second. */
 const QUOTA_UNREACHABLE_RETRY_AFTER_MS = 500;
 
 /** Dependencies on the daemon. */
@@ -81,7 +81,7 @@
 
 function refusalFor(organisation: string, taken: Exclude<Taken, { kind: 'taken' }>): Refusal {
   if (taken.kind === 'unknown')
-    return refusalOf('quotaUnreachable', 'No quota coordinator could be reached.', {
+    return refusalOf('quotaUnreachable', 'No quota coordinator responded in time.', {
       retryAfterMs: QUOTA_UNREACHABLE_RETRY_AFTER_MS,
     });
   return refusalOf('quotaExceeded', `${organisation} has used up its quota.`, {
