--- a/packages/calls/src/answerNotice.ts
+++ b/packages/calls/src/answerNotice.ts
@@ -18,12 +18,12 @@
 export const NOTHING_SAID: AnswerNotice = { rateLimit: 'none', isLeaving: false };
 
 const DECIMAL = /^(?:\d+\.?\d*|\.\d+)$/;
-const LEAVING = '1';
+const LEAVING_VALUE = '1';
 
 /** Reads the two headers of an answer. */
 export function answerNotice(rateLimit: HeaderValue, leaving: HeaderValue): AnswerNotice {
   if (rateLimit === undefined && leaving === undefined) return NOTHING_SAID;
-  return { rateLimit: rateLimitIn(rateLimit), isLeaving: valuesOf(leaving).includes(LEAVING) };
+  return { rateLimit: parseRateLimit(rateLimit), isLeaving: headerValues(leaving).includes(LEAVING_VALUE) };
 }
 
 /** Whether a number can be a rate; 0 is one. */
@@ -32,9 +32,9 @@
 }
 
 /** Of several that are named at once the lowest, which keeps them all. */
-function rateLimitIn(header: HeaderValue): AnswerNotice['rateLimit'] {
+function parseRateLimit(header: HeaderValue): AnswerNotice['rateLimit'] {
   if (header === undefined) return 'none';
-  const rates = valuesOf(header)
+  const rates = headerValues(header)
     .filter(text => DECIMAL.test(text))
     .map(Number)
     .filter(isRate);
@@ -42,6 +42,6 @@
 }
 
 /** A header that was sent twice may come as one, with a comma between. */
-function valuesOf(header: HeaderValue): string[] {
+function headerValues(header: HeaderValue): string[] {
   return [header ?? []].flat().flatMap(value => value.split(',').map(part => part.trim()));
 }
--- a/packages/calls/src/answers.ts
+++ b/packages/calls/src/answers.ts
@@ -4,9 +4,9 @@
 import { type CallAnswer, answerOf } from './callHandler.js';
 
 /** Answers up to this size travel in one part, and can be tried again if they break off. */
-export const HELD_BYTES = 65_536;
+export const PART_BYTES = 65_536;
 /** Larger answers of non-idempotent requests are not kept. */
-export const REMEMBERED_BYTES = 1_048_576;
+export const MAX_RECORDED_BYTES = 1_048_576;
 
 /** An answer kept whole. */
 export interface RecordedAnswer {
@@ -17,33 +17,33 @@
 /** Adds up length and check of a body. */
 export class BodyCheck {
   private length = 0;
-  private sum = 0;
+  private crc = 0;
 
   add(chunk: Uint8Array): void {
     // Node's crc32 of a buffer without memory is 0, whatever sum it is to go on from.
     if (chunk.length === 0) return;
     this.length += chunk.length;
-    this.sum = crc32(chunk, this.sum);
+    this.crc = crc32(chunk, this.crc);
   }
 
   /** What the sender says at the end. */
   get end(): { length: number; crc32: number } {
-    return { length: this.length, crc32: this.sum };
+    return { length: this.length, crc32: this.crc };
   }
 
   /** Whether the sender saw the same body. */
   agrees(end: { length: number; crc32: number }): boolean {
-    return end.length === this.length && end.crc32 === this.sum;
+    return end.length === this.length && end.crc32 === this.crc;
   }
 }
 
-const NOTHING = Buffer.alloc(0);
+const NO_BYTES = Buffer.alloc(0);
 
 /** One part of an answer. */
-export function answerPart(part: Partial<AnswerPart>): AnswerPart {
+export function createPart(part: Partial<AnswerPart>): AnswerPart {
   return {
     head: undefined,
-    body: NOTHING,
+    body: NO_BYTES,
     end: undefined,
     refusal: undefined,
     load: undefined,
@@ -62,11 +62,11 @@
 ): CallAnswer {
   const check = new BodyCheck();
   check.add(start);
-  if (!rest) return answerOf(answerPart({ head, body: start, end: check.end, ...finish() }));
-  return { first: answerPart({ head, body: start }), rest: toParts(check, rest, finish) };
+  if (!rest) return answerOf(createPart({ head, body: start, end: check.end, ...finish() }));
+  return { first: createPart({ head, body: start }), rest: splitBody(check, rest, finish) };
 }
 
-async function* toParts(
+async function* splitBody(
   check: BodyCheck,
   body: AsyncIterable<Buffer>,
   finish: () => { load: Load; unusedRetryTokens: number },
@@ -77,19 +77,19 @@
     check.add(chunk);
     pending.push(chunk);
     pendingBytes += chunk.length;
-    if (pendingBytes < HELD_BYTES) continue;
-    yield answerPart({ body: Buffer.concat(pending) });
+    if (pendingBytes < PART_BYTES) continue;
+    yield createPart({ body: Buffer.concat(pending) });
     pending = [];
     pendingBytes = 0;
   }
-  yield answerPart({ body: Buffer.concat(pending), end: check.end, ...finish() });
+  yield createPart({ body: Buffer.concat(pending), end: check.end, ...finish() });
 }
 
 /** A kept answer as its single part. */
 export function replay({ head, body }: RecordedAnswer): AnswerPart {
   const check = new BodyCheck();
   check.add(body);
-  return answerPart({ head, body, end: check.end, load: noLoad() });
+  return createPart({ head, body, end: check.end, load: noLoad() });
 }
 
 /** Collects parts; gives the whole answer once its end has come and agrees. */
@@ -104,9 +104,9 @@
     this.head ??= part.head;
     this.check.add(part.body);
     this.bytes += part.body.length;
-    if (this.bytes <= REMEMBERED_BYTES) this.chunks.push(part.body);
+    if (this.bytes <= MAX_RECORDED_BYTES) this.chunks.push(part.body);
     else this.chunks = [];
-    const isWhole = part.end !== undefined && this.check.agrees(part.end) && this.bytes <= REMEMBERED_BYTES;
+    const isWhole = part.end !== undefined && this.check.agrees(part.end) && this.bytes <= MAX_RECORDED_BYTES;
     return isWhole && this.head ? { head: this.head, body: Buffer.concat(this.chunks) } : undefined;
   }
 }
--- a/packages/calls/src/headTemplates.ts
+++ b/packages/calls/src/headTemplates.ts
@@ -5,13 +5,13 @@
 import { type CallContext, type HeadTemplate, type RequestHead, type RequestPart } from '@cleatquay/protocol';
 
 /** Templates of a link, at most: some 300 bytes each at both ends. Heads beyond them travel whole. */
-export const MOST_TEMPLATES = 256;
+export const MAX_TEMPLATES = 256;
 
 /** A head as it travels: the fields of the first part of a request that stand for it. */
-export type TravellingHead = Pick<RequestPart, 'head' | 'template' | 'definition' | 'rootLength'>;
+export type EncodedHead = Pick<RequestPart, 'head' | 'template' | 'definition' | 'rootLength'>;
 
 /** Parts after the first have none. */
-export const NO_HEAD: TravellingHead = {
+export const NO_HEAD: EncodedHead = {
   head: undefined,
   template: 0,
   definition: undefined,
@@ -19,19 +19,19 @@
 };
 
 /** The calling end's templates, by what they hold. */
-export class SentTemplates {
-  private readonly numbers = new Map<string, number>();
+export class HeadEncoder {
+  private readonly numberByKey = new Map<string, number>();
 
   /** A head that is sent right after this, and before any other. */
-  shorten(head: RequestHead): TravellingHead {
+  encode(head: RequestHead): EncodedHead {
     const { context } = head;
     if (!context || context.toHome) return { ...NO_HEAD, head };
     const template = templateOf(head, context);
-    const key = keyOf(template);
-    const known = this.numbers.get(key);
-    const number = known ?? this.numbers.size + 1;
-    if (number > MOST_TEMPLATES) return { ...NO_HEAD, head };
-    if (known === undefined) this.numbers.set(key, number);
+    const key = templateKey(template);
+    const known = this.numberByKey.get(key);
+    const number = known ?? this.numberByKey.size + 1;
+    if (number > MAX_TEMPLATES) return { ...NO_HEAD, head };
+    if (known === undefined) this.numberByKey.set(key, number);
     const { requestId, rootId } = context;
     const rootLength = requestId.startsWith(rootId) ? rootId.length : 0;
     return {
@@ -60,13 +60,13 @@
 }
 
 /** The called end's templates, by number. */
-export class ReceivedTemplates {
+export class HeadDecoder {
   private readonly templates: HeadTemplate[] = [];
 
   /** The whole head; undefined where the part has none, or names a template that was never defined. */
-  restore({ head, template: number, definition, rootLength }: TravellingHead): RequestHead | undefined {
+  decode({ head, template: number, definition, rootLength }: EncodedHead): RequestHead | undefined {
     if (!head?.context || number === 0) return head;
-    if (definition && number === this.templates.length + 1 && number <= MOST_TEMPLATES)
+    if (definition && number === this.templates.length + 1 && number <= MAX_TEMPLATES)
       this.templates.push(definition);
     const template = this.templates[number - 1];
     if (!template) return undefined;
@@ -92,7 +92,7 @@
 }
 
 /** Names what a template holds; the headers, which hold line feeds themselves, come last. */
-function keyOf(template: HeadTemplate): string {
+function templateKey(template: HeadTemplate): string {
   const { service, method, headers, route, idempotent, originService, targetEpoch } = template;
   return `${service}\n${method}\n${route}\n${String(idempotent)}\n${originService}\n${String(targetEpoch)}\n${headers}`;
 }
--- a/packages/calls/src/heardNotices.ts
+++ b/packages/calls/src/heardNotices.ts
@@ -5,7 +5,7 @@
 import { type AnswerPart, type UpstreamNotice } from '@cleatquay/protocol';
 import { type Candidate } from '@cleatquay/routing';
 
-interface Heard {
+interface ReceivedNotice {
   /** The process from which it was heard. */
   readonly epoch: number;
   readonly notice: UpstreamNotice;
@@ -13,11 +13,11 @@
 
 /** The latest notice of each service beside each daemon. */
 export class HeardNotices {
-  private readonly byAddress = new Map<string, Map<string, Heard>>();
+  private readonly byAddress = new Map<string, Map<string, ReceivedNotice>>();
 
   /** Takes the first part of an answer or a refusal. */
   heard(service: string, { address, epoch }: Candidate, { head, notice }: AnswerPart): void {
-    if (notice) this.keep(address, service, { epoch, notice });
+    if (notice) this.store(address, service, { epoch, notice });
     else if (head && this.byAddress.size > 0) this.byAddress.get(address)?.delete(service);
   }
 
@@ -33,7 +33,7 @@
     this.byAddress.delete(address);
   }
 
-  private keep(address: string, service: string, heard: Heard): void {
+  private store(address: string, service: string, heard: ReceivedNotice): void {
     const known = this.byAddress.get(address);
     if (known) known.set(service, heard);
     else this.byAddress.set(address, new Map([[service, heard]]));
--- a/packages/calls/src/index.ts
+++ b/packages/calls/src/index.ts
@@ -27,7 +27,7 @@
   passedRawHeaders,
 } from './headers.js';
 export { HeardNotices } from './heardNotices.js';
-export { FrameDelays, sentAtOf } from './frameDelays.js';
+export { TransitDelays, toSentAt } from './frameDelays.js';
 export { Home } from './home.js';
 export { type InnerHandlers, InnerServer } from './innerServer.js';
 export { type Decision, type DecisionSink, type Facts, Journal } from './journal.js';
@@ -53,15 +53,9 @@
 export { Senders } from './senders.js';
 export { Relay, type RelayOptions, type RelayedRequest } from './relay.js';
 export { type CalledRoute, LearnedCalls } from './learnedCalls.js';
-export {
-  MOST_TEMPLATES,
-  NO_HEAD,
-  ReceivedTemplates,
-  SentTemplates,
-  type TravellingHead,
-} from './headTemplates.js';
+export { MAX_TEMPLATES, NO_HEAD, HeadDecoder, HeadEncoder, type EncodedHead } from './headTemplates.js';
 export { EMPTY_ITEM } from './linkParts.js';
 export { LinkServer } from './linkServer.js';
-export { LinkStream, type LinkStreamEvents } from './linkStream.js';
+export { FrameStream, type FrameStreamEvents } from './linkStream.js';
 export { type FailedTry, type NextTry, nextTry } from './nextTry.js';
 export { WorkTurns } from './workTurns.js';
--- a/packages/calls/src/innerServer.ts
+++ b/packages/calls/src/innerServer.ts
@@ -24,18 +24,20 @@
 
 /** Serves peers until disposed of. */
 export class InnerServer implements AsyncDisposable {
-  private readonly server = new Server({
+  private readonly grpcServer = new Server({
     'grpc.max_receive_message_length': 4 * 1_048_576,
     // Ends connections of peers that were cut off and have made new ones since.
     'grpc.keepalive_time_ms': 10_000,
     'grpc.keepalive_timeout_ms': 5000,
   });
-  private readonly grpc = this.server.createConnectionInjector(ServerCredentials.createInsecure());
+  private readonly grpcInjector = this.grpcServer.createConnectionInjector(
+    ServerCredentials.createInsecure(),
+  );
   private readonly links = new Map<Socket, LinkServer>();
   private readonly listener: TcpServer = createServer(socket => this.accept(socket));
 
   constructor(private readonly handlers: InnerHandlers) {
-    this.server.addService(InnerService, {
+    this.grpcServer.addService(InnerService, {
       seal: (
         call: { request: SealRequest },
         callback: (error: object | null, answer?: SealAnswer) => void,
@@ -59,8 +61,8 @@
   async [Symbol.asyncDispose](): Promise<void> {
     this.listener.close();
     for (const link of [...this.links.values()]) link.close();
-    const closed = new Promise<void>(resolve => this.server.tryShutdown(() => resolve()));
-    const forced = setTimeout(() => this.server.forceShutdown(), SHUTDOWN_MS);
+    const closed = new Promise<void>(resolve => this.grpcServer.tryShutdown(() => resolve()));
+    const forced = setTimeout(() => this.grpcServer.forceShutdown(), SHUTDOWN_TIMEOUT_MS);
     await closed;
     clearTimeout(forced);
   }
@@ -69,11 +71,11 @@
   private accept(socket: Socket): void {
     const dropped = () => socket.destroy();
     socket.once('error', dropped);
-    socket.setTimeout(FIRST_BYTES_MS, dropped);
+    socket.setTimeout(FIRST_BYTE_TIMEOUT_MS, dropped);
     socket.once('data', (first: Buffer) => {
       socket.setTimeout(0);
       socket.off('error', dropped);
-      if (first[0] === GRPC_PREFACE) this.injectGrpc(socket, first);
+      if (first[0] === HTTP2_PREFACE_BYTE) this.injectGrpc(socket, first);
       else this.serveLink(socket, first);
     });
   }
@@ -81,12 +83,12 @@
   private injectGrpc(socket: Socket, first: Buffer): void {
     socket.pause();
     socket.unshift(first);
-    this.grpc.injectConnection(socket);
+    this.grpcInjector.injectConnection(socket);
   }
 
   private serveLink(socket: Socket, first: Buffer): void {
     const { exchange: handle, turns, configuration, clock } = this.handlers;
-    const link = new LinkServer(socket, { clock, handle, turns, configuration });
+    const link = new LinkServer(socket, { clock, handle, scheduler: turns, configuration });
     this.links.set(socket, link);
     socket.once('close', () => this.links.delete(socket));
     link.receive(first);
@@ -94,8 +96,8 @@
 }
 
 /** First byte of HTTP/2's preface, "PRI". */
-const GRPC_PREFACE = 0x50;
+const HTTP2_PREFACE_BYTE = 0x50;
 /** A peer that has connected says something at once; a connection without a word is closed after so long, ms. */
-const FIRST_BYTES_MS = 5000;
+const FIRST_BYTE_TIMEOUT_MS = 5000;
 
-const SHUTDOWN_MS = 500;
+const SHUTDOWN_TIMEOUT_MS = 500;
--- a/packages/calls/src/linkParts.ts
+++ b/packages/calls/src/linkParts.ts
@@ -4,7 +4,7 @@
 /** Parts of one call that may be under way without having been taken; with 64 KiB parts, 256 KiB a call. */
 const WINDOW_PARTS = 4;
 /** A frame is written early beyond so many bytes, well below the longest that a peer takes. */
-const FRAME_BYTES = 512 * 1024;
+const MAX_GATHERED_BYTES = 512 * 1024;
 
 /** An item that says nothing; what is sent is added to it. */
 export const EMPTY_ITEM: LinkItem = {
@@ -20,7 +20,7 @@
 };
 
 /** Gathers the items of one turn of the event loop into one frame, which costs one write. */
-export class LinkWriter {
+export class FrameWriter {
   private pending: LinkItem[] = [];
   private bytes = 0;
 
@@ -31,7 +31,7 @@
     if (this.pending.length === 0) setImmediate(() => this.flush());
     this.pending.push({ ...EMPTY_ITEM, ...item });
     this.bytes += (item.request ?? item.answer)?.body.length ?? 0;
-    if (this.bytes > FRAME_BYTES) this.flush();
+    if (this.bytes > MAX_GATHERED_BYTES) this.flush();
   }
 
   private flush(): void {
@@ -44,13 +44,13 @@
 }
 
 /** Parts that came and were not taken yet. */
-export class PartQueue<T> {
-  private readonly parts: T[] = [];
+export class AsyncQueue<T> {
+  private readonly items: T[] = [];
   private failure: Error | undefined;
   private wake: (() => void) | undefined;
 
   push(part: T): void {
-    this.parts.push(part);
+    this.items.push(part);
     this.wake?.();
   }
 
@@ -63,7 +63,7 @@
   /** The next part; throws the failure once all that came before it is taken. */
   async next(): Promise<T> {
     for (;;) {
-      const part = this.parts.shift();
+      const part = this.items.shift();
       if (part !== undefined) return part;
       if (this.failure) throw this.failure;
       await new Promise<void>(resolve => (this.wake = resolve));
@@ -74,22 +74,22 @@
 
 /** How many more parts the other end is ready to hold. */
 export class SendWindow {
-  private left = WINDOW_PARTS;
+  private credits = WINDOW_PARTS;
   private closed = false;
   private wake: (() => void) | undefined;
 
   /** Waits until a part may be sent, or the window was closed. */
-  async take(): Promise<void> {
-    while (this.left === 0 && !this.closed) {
+  async acquire(): Promise<void> {
+    while (this.credits === 0 && !this.closed) {
       await new Promise<void>(resolve => (this.wake = resolve));
       this.wake = undefined;
     }
-    this.left = Math.max(0, this.left - 1);
+    this.credits = Math.max(0, this.credits - 1);
   }
 
   /** The other end took some. */
-  give(count: number): void {
-    this.left += count;
+  release(count: number): void {
+    this.credits += count;
     this.wake?.();
   }
 
--- a/packages/calls/src/linkServer.ts
+++ b/packages/calls/src/linkServer.ts
@@ -13,25 +13,25 @@
 } from '@cleatquay/protocol';
 import { type Socket } from 'node:net';
 import { type CallHandler, isLast } from './callHandler.js';
-import { FrameDelays } from './frameDelays.js';
-import { ReceivedTemplates } from './headTemplates.js';
-import { LinkWriter, PartQueue, SendWindow } from './linkParts.js';
-import { LinkStream } from './linkStream.js';
+import { TransitDelays } from './frameDelays.js';
+import { HeadDecoder } from './headTemplates.js';
+import { FrameWriter, AsyncQueue, SendWindow } from './linkParts.js';
+import { FrameStream } from './linkStream.js';
 import { type WorkTurns } from './workTurns.js';
 
 interface ServedCall {
   /** Parts of the request; undefined where the first was the whole. */
-  readonly parts: PartQueue<RequestPart> | undefined;
+  readonly requestParts: AsyncQueue<RequestPart> | undefined;
   /** Made for answers that are sent in parts. */
   window: SendWindow | undefined;
-  readonly gone: Cancellation;
+  readonly cancellation: Cancellation;
 }
 
 /** What a link server needs of its daemon. */
 export interface LinkServerOptions {
   readonly clock: Clock;
   readonly handle: CallHandler;
-  readonly turns: WorkTurns;
+  readonly scheduler: WorkTurns;
   /** Answers what the peer's configuration lacks of this daemon's. */
   readonly configuration: (request: ConfigurationRequest) => ConfigurationAnswer;
 }
@@ -39,21 +39,21 @@
 /** Serves the calls of one link, each in a task of its own, until the peer ends it. */
 export class LinkServer {
   private readonly calls = new Map<number, ServedCall>();
-  private readonly templates = new ReceivedTemplates();
-  private readonly writer: LinkWriter;
-  private readonly stream: LinkStream;
-  private readonly delays: FrameDelays;
+  private readonly headDecoder = new HeadDecoder();
+  private readonly writer: FrameWriter;
+  private readonly stream: FrameStream;
+  private readonly transitDelays: TransitDelays;
 
   constructor(
     socket: Socket,
     private readonly options: LinkServerOptions,
   ) {
-    this.delays = new FrameDelays(options.clock);
-    this.stream = new LinkStream(socket, {
-      onFrame: ({ items, sentAt }) => this.takeAll(items, this.delays.of(sentAt)),
-      onEnd: () => this.end(),
+    this.transitDelays = new TransitDelays(options.clock);
+    this.stream = new FrameStream(socket, {
+      onFrame: ({ items, sentAt }) => this.handleFrame(items, this.transitDelays.measure(sentAt)),
+      onEnd: () => this.cancelCalls(),
     });
-    this.writer = new LinkWriter(items => this.stream.write({ items, sentAt: 0 }));
+    this.writer = new FrameWriter(items => this.stream.write({ items, sentAt: 0 }));
   }
 
   /** Takes what was read off the connection before this served it. */
@@ -64,57 +64,57 @@
   /** Closes the link; its calls are given up. */
   close(): void {
     this.stream.close();
-    this.end();
+    this.cancelCalls();
   }
 
-  private takeAll(items: readonly LinkItem[], delayMs: number): void {
-    for (const item of items) this.take(item, delayMs);
+  private handleFrame(items: readonly LinkItem[], delayMs: number): void {
+    for (const item of items) this.handleItem(item, delayMs);
   }
 
-  private take(item: LinkItem, delayMs: number): void {
+  private handleItem(item: LinkItem, delayMs: number): void {
     if (item.ping > 0) this.writer.send({ pong: item.ping });
     const known = this.calls.get(item.call);
-    if (item.credit > 0) known?.window?.give(item.credit);
-    if (item.cancel && known) abandon(known);
+    if (item.credit > 0) known?.window?.release(item.credit);
+    if (item.cancel && known) cancelCall(known);
     const { configurationRequest } = item;
     if (configurationRequest)
       this.writer.send({ call: item.call, configuration: this.options.configuration(configurationRequest) });
     if (!item.request) return;
-    if (known) known.parts?.push(item.request);
+    if (known) known.requestParts?.push(item.request);
     else if (item.request.head)
-      this.begin(item.call, item.request, withLessTime(this.templates.restore(item.request), delayMs));
+      this.startCall(item.call, item.request, deductTime(this.headDecoder.decode(item.request), delayMs));
   }
 
-  private begin(number: number, first: RequestPart, head: RequestHead | undefined): void {
+  private startCall(number: number, first: RequestPart, head: RequestHead | undefined): void {
     const call: ServedCall = {
-      parts: first.last ? undefined : new PartQueue(),
+      requestParts: first.last ? undefined : new AsyncQueue(),
       window: undefined,
-      gone: new Cancellation(),
+      cancellation: new Cancellation(),
     };
-    call.parts?.push(first);
+    call.requestParts?.push(first);
     this.calls.set(number, call);
-    void this.serve(number, call, first, head).finally(() => this.calls.delete(number));
+    void this.processCall(number, call, first, head).finally(() => this.calls.delete(number));
   }
 
   /** One call. A handler that goes on after its caller left is let run to its end, so that it can keep the answer. */
-  private async serve(
+  private async processCall(
     number: number,
     call: ServedCall,
     first: RequestPart,
     head: RequestHead | undefined,
   ): Promise<void> {
-    const { parts, gone } = call;
+    const { requestParts: parts, cancellation: gone } = call;
     const send = (part: AnswerPart) => {
       if (!gone.signal.aborted) this.writer.send({ call: number, answer: part });
     };
     if (!isUsableHead(head)) return send(endOf(refusalOf('innerMessageInvalid', 'No usable head.'), 0));
     try {
-      const turn = this.options.turns.take();
+      const turn = this.options.scheduler.take();
       const waitedMs = turn ? await turn : 0;
       if (gone.signal.aborted) return;
-      const body = parts ? this.bodyOf(number, parts) : first.body;
-      const begun = withLessTime(head, waitedMs);
-      if (isTooLate(begun))
+      const body = parts ? this.readBody(number, parts) : first.body;
+      const begun = deductTime(head, waitedMs);
+      if (isDeadlinePassed(begun))
         return send(endOf(refusalOf('deadlineTooShort', 'It was held up on its way.'), 0));
       const answer = await this.options.handle(begun, body, gone.signal);
       send(answer.first);
@@ -122,7 +122,7 @@
       const window = (call.window = new SendWindow());
       if (gone.signal.aborted) window.close();
       for await (const part of answer.rest) {
-        if (!isLast(part)) await window.take();
+        if (!isLast(part)) await window.acquire();
         send(part);
       }
     } catch (error) {
@@ -130,7 +130,7 @@
     }
   }
 
-  private async *bodyOf(number: number, parts: PartQueue<RequestPart>): AsyncIterable<Uint8Array> {
+  private async *readBody(number: number, parts: AsyncQueue<RequestPart>): AsyncIterable<Uint8Array> {
     for (;;) {
       const part = await parts.next();
       if (part.body.length > 0) yield part.body;
@@ -139,23 +139,23 @@
     }
   }
 
-  private end(): void {
-    for (const call of this.calls.values()) abandon(call);
+  private cancelCalls(): void {
+    for (const call of this.calls.values()) cancelCall(call);
   }
 }
 
 /** The head of a call of whose time so much is gone, ms. */
-function withLessTime<Head extends RequestHead | undefined>(head: Head, goneMs: number): Head {
+function deductTime<Head extends RequestHead | undefined>(head: Head, goneMs: number): Head {
   if (!head?.context || goneMs < 1) return head;
   const { context } = head;
   return { ...head, context: { ...context, remainingMs: Math.floor(context.remainingMs - goneMs) } };
 }
 
-function isTooLate({ context }: RequestHead): boolean {
+function isDeadlinePassed({ context }: RequestHead): boolean {
   return context !== undefined && context.remainingMs <= 0;
 }
 
-function abandon({ parts, window, gone }: ServedCall): void {
+function cancelCall({ requestParts: parts, window, cancellation: gone }: ServedCall): void {
   gone.abort(CALLER_LEFT);
   parts?.fail(new Error('The caller left before the end of its request.'));
   window?.close();
--- a/packages/calls/src/peers.ts
+++ b/packages/calls/src/peers.ts
@@ -12,10 +12,10 @@
 import { Metadata, type ServiceError, credentials, status } from '@grpc/grpc-js';
 import { connect } from 'node:net';
 import { type CallAnswer, type CallBody } from './callHandler.js';
-import { LINK_CHECK_MS, Link } from './link.js';
+import { LIVENESS_CHECK_INTERVAL_MS, LinkClient } from './link.js';
 import { LostContact } from './lostContact.js';
 
-const OPTIONS = {
+const GRPC_OPTIONS = {
   // What is asked by gRPC is repeated by those who ask, or not at all.
   'grpc.enable_retries': 0,
   'grpc.client_idle_timeout_ms': 60_000,
@@ -29,10 +29,10 @@
 const NO_CONNECTION = 'No connection established';
 
 /** Pause between looks whether a peer that was lost is back, ms. */
-const RETURN_PAUSE_MS = 200;
+const RECONNECT_INTERVAL_MS = 200;
 /** A failure domain is taken for silent when so many of its peers are, and none was heard meanwhile. */
-const TELLING_PEERS = 2;
-const DOMAIN_HEARD_MS = 300;
+const MIN_UNREACHABLE_PEERS = 2;
+const DOMAIN_ACTIVITY_MS = 300;
 
 /** Whether a peer can be expected to answer. */
 export type Contact = 'good' | 'silent' | 'lost';
@@ -40,11 +40,11 @@
 /** Clients of peers. */
 export class Peers implements Disposable {
   private isClosed = false;
-  private check: Timer | undefined;
+  private livenessTimer: Timer | undefined;
   private readonly clients = new Map<string, InnerClient>();
-  private readonly links = new Map<string, Link>();
-  private readonly connecting = new Map<string, Promise<Link>>();
-  private readonly lost = new Map<string, Cancellation>();
+  private readonly links = new Map<string, LinkClient>();
+  private readonly connecting = new Map<string, Promise<LinkClient>>();
+  private readonly reconnections = new Map<string, Cancellation>();
 
   constructor(
     private readonly clock: Clock,
@@ -60,8 +60,8 @@
     signal: CancelSignal,
   ): Promise<CallAnswer> {
     if (this.isCut(address)) throw new LostContact(`${address} is cut off.`, true);
-    const link = this.links.get(address) ?? (await this.connectOrWatch(address));
-    this.lookAfterLinks();
+    const link = this.links.get(address) ?? (await this.connectOrReconnectLater(address));
+    this.scheduleLivenessCheck();
     const answer = await link.exchange(head, body, signal);
     if (this.isCut(address)) throw new LostContact(`${address} was cut off.`, false);
     return answer;
@@ -69,20 +69,20 @@
 
   /** Whether a peer can be expected to answer. */
   contact(address: string): Contact {
-    if (this.lost.has(address)) return 'lost';
-    return this.links.get(address)?.isSilent === true ? 'silent' : 'good';
+    if (this.reconnections.has(address)) return 'lost';
+    return this.links.get(address)?.isUnresponsive === true ? 'silent' : 'good';
   }
 
   /** Whether some of these peers owe answers, and none of them has been heard for a while: their domain is cut off. */
   areCutOff(addresses: readonly string[]): boolean {
-    const heardSince = this.clock.now() - DOMAIN_HEARD_MS;
+    const heardSince = this.clock.now() - DOMAIN_ACTIVITY_MS;
     let mute = 0;
     for (const address of addresses) {
       const isMute = this.contact(address) !== 'good';
       if (isMute) mute++;
-      else if ((this.links.get(address)?.lastHeardAt ?? 0) > heardSince) return false;
+      else if ((this.links.get(address)?.lastActivityAt ?? 0) > heardSince) return false;
     }
-    return mute >= TELLING_PEERS;
+    return mute >= MIN_UNREACHABLE_PEERS;
   }
 
   /** Asks a peer to seal a try. */
@@ -100,8 +100,8 @@
   /** Asks a peer for what this daemon's configuration lacks. */
   async fetchConfiguration(address: string, question: ConfigurationRequest): Promise<ConfigurationAnswer> {
     if (this.isCut(address)) throw new LostContact(`${address} is cut off.`, true);
-    const link = this.links.get(address) ?? (await this.connectOrWatch(address));
-    this.lookAfterLinks();
+    const link = this.links.get(address) ?? (await this.connectOrReconnectLater(address));
+    this.scheduleLivenessCheck();
     const late = new Cancellation();
     const inTime = this.clock.sleep(CONFIGURATION_TIMEOUT_MS, late.signal).then(() => {
       throw new LostContact(`${address} did not give its configuration in time.`, false);
@@ -116,7 +116,7 @@
 
   /** Closes the client of a peer that is gone for good. */
   forget(address: string): void {
-    this.lost.get(address)?.abort(NOT_NEEDED);
+    this.reconnections.get(address)?.abort(NOT_NEEDED);
     this.links.get(address)?.fail('is gone');
     this.closeClient(address);
   }
@@ -128,44 +128,45 @@
 
   [Symbol.dispose](): void {
     this.isClosed = true;
-    this.check?.[Symbol.dispose]();
-    for (const watch of this.lost.values()) watch.abort(NOT_NEEDED);
+    this.livenessTimer?.[Symbol.dispose]();
+    for (const watch of this.reconnections.values()) watch.abort(NOT_NEEDED);
     for (const link of [...this.links.values()]) link.fail('is not needed any more');
     for (const address of this.addresses) this.closeClient(address);
   }
 
   /** One timer for all links: with one each, a daemon would wake up hundreds of times a second. */
   private checkLinks(): void {
-    this.check = undefined;
-    for (const link of [...this.links.values()]) link.checkSilence();
+    this.livenessTimer = undefined;
+    for (const link of [...this.links.values()]) link.checkLiveness();
     const isInUse = [...this.links.values()].some(link => link.isInUse);
-    if (isInUse && !this.isClosed) this.check = this.clock.after(LINK_CHECK_MS, () => this.checkLinks());
+    if (isInUse && !this.isClosed)
+      this.livenessTimer = this.clock.after(LIVENESS_CHECK_INTERVAL_MS, () => this.checkLinks());
   }
 
-  private lookAfterLinks(): void {
-    this.check ??= this.clock.after(LINK_CHECK_MS, () => this.checkLinks());
+  private scheduleLivenessCheck(): void {
+    this.livenessTimer ??= this.clock.after(LIVENESS_CHECK_INTERVAL_MS, () => this.checkLinks());
   }
 
-  private async connectOrWatch(address: string): Promise<Link> {
+  private async connectOrReconnectLater(address: string): Promise<LinkClient> {
     try {
       return await this.connect(address);
     } catch (error) {
-      this.watchReturn(address);
+      this.startReconnecting(address);
       throw error;
     }
   }
 
   /** Looks in the background whether a lost peer is back, so that no call has to find out. */
-  private watchReturn(address: string): void {
-    if (this.lost.has(address) || this.isClosed) return;
+  private startReconnecting(address: string): void {
+    if (this.reconnections.has(address) || this.isClosed) return;
     const watch = new Cancellation();
-    this.lost.set(address, watch);
-    void this.untilBack(address, watch.signal).finally(() => this.lost.delete(address));
+    this.reconnections.set(address, watch);
+    void this.reconnect(address, watch.signal).finally(() => this.reconnections.delete(address));
   }
 
-  private async untilBack(address: string, signal: CancelSignal): Promise<void> {
+  private async reconnect(address: string, signal: CancelSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.clock.sleep(RETURN_PAUSE_MS, signal);
+      await this.clock.sleep(RECONNECT_INTERVAL_MS, signal);
       if (signal.aborted || this.isCut(address)) continue;
       const link = await this.connect(address).catch(() => undefined);
       if (link) return;
@@ -178,7 +179,7 @@
   }
 
   /** The link to a peer; calls that come while it is being made share it. */
-  private connect(address: string): Promise<Link> {
+  private connect(address: string): Promise<LinkClient> {
     const known = this.links.get(address);
     if (known) return Promise.resolve(known);
     let connecting = this.connecting.get(address);
@@ -190,13 +191,13 @@
   }
 
   /** Makes a link and waits for the peer's first word, but not long. Nothing was sent when this fails. */
-  private async open(address: string): Promise<Link> {
+  private async open(address: string): Promise<LinkClient> {
     const { ip, port } = splitAddress(address);
     const socket = connect({ host: ip, port });
-    const link = new Link(this.clock, address, socket, () => this.linkEnded(address, link));
+    const link = new LinkClient(this.clock, address, socket, () => this.onLinkEnd(address, link));
     const timer = this.clock.after(CONNECT_TIMEOUT_MS, () => link.fail('does not answer'));
     try {
-      await link.opened();
+      await link.waitUntilOpen();
       if (this.isClosed) link.fail('is not needed any more');
       else this.links.set(address, link);
       return link;
@@ -206,17 +207,17 @@
   }
 
   /** When a link ends, so does gRPC's connection, over which nothing may come through any more. */
-  private linkEnded(address: string, link: Link): void {
+  private onLinkEnd(address: string, link: LinkClient): void {
     if (this.links.get(address) !== link) return;
     this.links.delete(address);
     this.closeClient(address);
-    this.watchReturn(address);
+    this.startReconnecting(address);
   }
 
   private client(address: string): InnerClient {
     let client = this.clients.get(address);
     if (!client) {
-      client = new InnerClient(address, credentials.createInsecure(), OPTIONS);
+      client = new InnerClient(address, credentials.createInsecure(), GRPC_OPTIONS);
       this.clients.set(address, client);
     }
     return client;
--- a/packages/calls/src/replayBody.ts
+++ b/packages/calls/src/replayBody.ts
@@ -1,12 +1,12 @@
 /** A request body that can be sent again as long as it is small. */
 import { type CallBody } from './callHandler.js';
 
-const REPLAY_BYTES = 65_536;
+const MAX_REPLAYABLE_BYTES = 65_536;
 
 /** Reads its source once, and keeps the beginning. */
 export class ReplayBody {
-  private readonly kept: Uint8Array[] = [];
-  private keptBytes = 0;
+  private readonly buffered: Uint8Array[] = [];
+  private bufferedBytes = 0;
   private ended = false;
   private streaming = false;
   private readonly source: AsyncIterator<Uint8Array> | undefined;
@@ -29,18 +29,18 @@
 
   /** What was read of it so far, at most what is kept: of a body that is sent as a stream, its beginning. */
   get beginning(): Buffer {
-    return this.whole ?? Buffer.concat(this.kept);
+    return this.whole ?? Buffer.concat(this.buffered);
   }
 
   /** Reads the beginning, as far as it is kept. */
   async prepare(): Promise<void> {
     if (!this.source || this.whole) return;
-    while (!this.ended && this.keptBytes < REPLAY_BYTES) {
+    while (!this.ended && this.bufferedBytes < MAX_REPLAYABLE_BYTES) {
       const { value, done } = await this.source.next();
       if (done === true) this.ended = true;
-      else this.keep(value);
+      else this.buffer(value);
     }
-    if (this.ended) this.whole = Buffer.concat(this.kept);
+    if (this.ended) this.whole = Buffer.concat(this.buffered);
   }
 
   /** The whole body, from its beginning. */
@@ -52,13 +52,13 @@
   private async *stream(): AsyncIterable<Uint8Array> {
     if (this.streaming || !this.source) throw new Error('The body was sent already.');
     this.streaming = true;
-    yield* this.kept;
+    yield* this.buffered;
     for (let next = await this.source.next(); next.done !== true; next = await this.source.next())
       yield next.value;
   }
 
-  private keep(chunk: Uint8Array): void {
-    this.kept.push(chunk);
-    this.keptBytes += chunk.length;
+  private buffer(chunk: Uint8Array): void {
+    this.buffered.push(chunk);
+    this.bufferedBytes += chunk.length;
   }
 }
--- a/packages/calls/src/upstreamConnections.ts
+++ b/packages/calls/src/upstreamConnections.ts
@@ -4,20 +4,20 @@
 import { type Socket } from 'node:net';
 import { Readable } from 'node:stream';
 import { type Dispatcher, Pool, buildConnector } from 'undici';
-import { HELD_BYTES } from './answers.js';
+import { PART_BYTES } from './answers.js';
 import { type CallBody } from './callHandler.js';
-import { PartQueue } from './linkParts.js';
+import { AsyncQueue } from './linkParts.js';
 
 /** An upstream on the same VM that takes longer to let a connection in is out, ms. */
 const CONNECT_TIMEOUT_MS = 500;
 /** Answer bytes held for a slow reader before the upstream is made to wait. */
-const HELD_ANSWER_BYTES = 128 * 1024;
+const MAX_BUFFERED_BYTES = 128 * 1024;
 /**
  * After an answer to another request, or a broken connection, requests that may run only once get connections of their
  * own for this long, ms: a lost confirmation is worth some hundred new connections.
  */
-const DISTRUST_MS = 30_000;
-const WITHOUT_BODY = [204, 304];
+const NO_REUSE_MS = 30_000;
+const BODYLESS_STATUSES = [204, 304];
 
 /** What is asked of an upstream. */
 export interface UpstreamRequest {
@@ -51,12 +51,12 @@
 
 /** Pools of connections to one upstream. */
 export class UpstreamConnections implements AsyncDisposable {
-  private readonly kept: Pool;
-  private readonly fresh: Pool;
-  private framed = false;
-  private distrustUntil = Number.NEGATIVE_INFINITY;
+  private readonly keepAlivePool: Pool;
+  private readonly singleUsePool: Pool;
+  private hasDelimitedAnswers = false;
+  private noReuseUntil = Number.NEGATIVE_INFINITY;
   /** Connections that ended with an error. */
-  private resets = 0;
+  private connectionErrors = 0;
 
   constructor(
     private readonly clock: Clock,
@@ -64,20 +64,25 @@
     connections: number,
   ) {
     const options = { connections, headersTimeout: 0, bodyTimeout: 0, connect: this.connector() };
-    this.kept = new Pool(`http://${address}`, options);
-    this.fresh = new Pool(`http://${address}`, { ...options, pipelining: 0 });
+    this.keepAlivePool = new Pool(`http://${address}`, options);
+    this.singleUsePool = new Pool(`http://${address}`, { ...options, pipelining: 0 });
   }
 
   /** Sends a request and resolves with its answer once that is whole, or long. */
   ask(request: UpstreamRequest, signal: CancelSignal): Promise<UpstreamAnswer> {
-    const isDistrusted = this.clock.now() < this.distrustUntil;
-    const pool = !request.idempotent && isDistrusted ? this.fresh : this.kept;
+    const isDistrusted = this.clock.now() < this.noReuseUntil;
+    const pool = !request.idempotent && isDistrusted ? this.singleUsePool : this.keepAlivePool;
     return new Promise((resolve, reject) => {
       const settle = (answer: UpstreamAnswer) => {
-        this.framed ||= !answer.isUnframed;
+        this.hasDelimitedAnswers ||= !answer.isUnframed;
         resolve(answer);
       };
-      const exchange = new Exchange(request, signal, { resolve: settle, reject }, () => this.resets);
+      const exchange = new Exchange(
+        request,
+        signal,
+        { resolve: settle, reject },
+        () => this.connectionErrors,
+      );
       const { method, path, headers, body } = request;
       pool.dispatch(
         {
@@ -93,16 +98,16 @@
 
   /** Whether the upstream usually says where its answers end. */
   get framesAnswers(): boolean {
-    return this.framed;
+    return this.hasDelimitedAnswers;
   }
 
   /** Something came over a kept connection that should not have. */
   distrust(): void {
-    this.distrustUntil = this.clock.now() + DISTRUST_MS;
+    this.noReuseUntil = this.clock.now() + NO_REUSE_MS;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    await Promise.all([this.kept.close(), this.fresh.close()]);
+    await Promise.all([this.keepAlivePool.close(), this.singleUsePool.close()]);
   }
 
   private connector(): buildConnector.connector {
@@ -110,7 +115,7 @@
     return (options, callback) => {
       connect(options, (...[error, socket]: buildConnector.CallbackArgs) => {
         if (error) return callback(error, null);
-        (socket as Socket).on('error', () => this.resets++);
+        (socket as Socket).on('error', () => this.connectionErrors++);
         callback(null, socket);
       });
     };
@@ -121,26 +126,26 @@
 class Exchange implements Dispatcher.DispatchHandler {
   private status = 0;
   private headers: IncomingHttpHeaders = {};
-  private start: Buffer[] = [];
+  private startChunks: Buffer[] = [];
   private startBytes = 0;
-  private rest: PartQueue<Buffer | 'end'> | undefined;
-  private held = 0;
+  private restQueue: AsyncQueue<Buffer | 'end'> | undefined;
+  private bufferedBytes = 0;
   private controller: Dispatcher.DispatchController | undefined;
-  private resetsBefore: number | undefined;
-  private readonly abort = () => this.giveUp();
+  private errorsAtHead: number | undefined;
+  private readonly onAbort = () => this.cancel();
 
   constructor(
     private readonly request: UpstreamRequest,
     private readonly signal: CancelSignal,
     private readonly settle: { resolve: (answer: UpstreamAnswer) => void; reject: (error: unknown) => void },
-    private readonly resets: () => number,
+    private readonly connectionErrors: () => number,
   ) {
-    signal.addEventListener('abort', this.abort, { once: true });
+    signal.addEventListener('abort', this.onAbort, { once: true });
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
-    if (this.signal.aborted) this.giveUp();
+    if (this.signal.aborted) this.cancel();
   }
 
   onResponseStart(
@@ -154,21 +159,21 @@
       return;
     }
     this.request.onOwnAnswer(status, headers);
-    if (endsWithConnection(this.request.method, status, headers)) this.resetsBefore = this.resets();
+    if (isCloseDelimited(this.request.method, status, headers)) this.errorsAtHead = this.connectionErrors();
     this.status = status;
     this.headers = headers;
   }
 
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
-    if (!this.rest) {
-      this.start.push(chunk);
+    if (!this.restQueue) {
+      this.startChunks.push(chunk);
       this.startBytes += chunk.length;
-      if (this.startBytes >= HELD_BYTES) this.beginRest();
+      if (this.startBytes >= PART_BYTES) this.startStreaming();
       return;
     }
-    this.rest.push(chunk);
-    this.held += chunk.length;
-    if (this.held > HELD_ANSWER_BYTES) controller.pause();
+    this.restQueue.push(chunk);
+    this.bufferedBytes += chunk.length;
+    if (this.bufferedBytes > MAX_BUFFERED_BYTES) controller.pause();
   }
 
   /**
@@ -176,19 +181,19 @@
    * for an end, too. Any reset of a connection to this upstream meanwhile makes such an answer suspect.
    */
   onResponseEnd(): void {
-    this.signal.removeEventListener('abort', this.abort);
-    const isSuspect = this.resetsBefore !== undefined && this.resetsBefore !== this.resets();
+    this.signal.removeEventListener('abort', this.onAbort);
+    const isSuspect = this.errorsAtHead !== undefined && this.errorsAtHead !== this.connectionErrors();
     if (isSuspect) this.fail(new Error('A connection was reset before the end of the answer.'));
-    else if (this.rest) this.rest.push('end');
+    else if (this.restQueue) this.restQueue.push('end');
     else this.settle.resolve(this.answer());
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
-    this.signal.removeEventListener('abort', this.abort);
+    this.signal.removeEventListener('abort', this.onAbort);
     this.fail(error);
   }
 
-  private giveUp(): void {
+  private cancel(): void {
     const error = this.signal.reason as Error;
     this.fail(error);
     if (this.controller && !this.controller.aborted) this.controller.abort(error);
@@ -196,33 +201,36 @@
 
   private fail(error: Error): void {
     this.settle.reject(error);
-    this.rest?.fail(error);
+    this.restQueue?.fail(error);
   }
 
-  private beginRest(): void {
-    this.rest = new PartQueue();
-    this.settle.resolve(this.answer(this.readRest(this.rest)));
+  private startStreaming(): void {
+    this.restQueue = new AsyncQueue();
+    this.settle.resolve(this.answer(this.readRest(this.restQueue)));
   }
 
   private answer(rest?: AsyncIterable<Buffer>): UpstreamAnswer {
-    const start = this.start.length === 1 && this.start[0] ? this.start[0] : Buffer.concat(this.start);
-    this.start = [];
-    const isUnframed = this.resetsBefore !== undefined;
+    const start =
+      this.startChunks.length === 1 && this.startChunks[0]
+        ? this.startChunks[0]
+        : Buffer.concat(this.startChunks);
+    this.startChunks = [];
+    const isUnframed = this.errorsAtHead !== undefined;
     return { status: this.status, headers: this.headers, start, rest, isUnframed };
   }
 
-  private async *readRest(rest: PartQueue<Buffer | 'end'>): AsyncGenerator<Buffer> {
+  private async *readRest(rest: AsyncQueue<Buffer | 'end'>): AsyncGenerator<Buffer> {
     for (;;) {
       const chunk = await rest.next();
       if (chunk === 'end') return;
-      this.held -= chunk.length;
-      if (this.controller?.paused && this.held <= HELD_ANSWER_BYTES / 2) this.controller.resume();
+      this.bufferedBytes -= chunk.length;
+      if (this.controller?.paused && this.bufferedBytes <= MAX_BUFFERED_BYTES / 2) this.controller.resume();
       yield chunk;
     }
   }
 }
 
-function endsWithConnection(method: string, status: number, headers: IncomingHttpHeaders): boolean {
+function isCloseDelimited(method: string, status: number, headers: IncomingHttpHeaders): boolean {
   const isFramed = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
-  return !isFramed && method !== 'HEAD' && !WITHOUT_BODY.includes(status);
+  return !isFramed && method !== 'HEAD' && !BODYLESS_STATUSES.includes(status);
 }
--- a/packages/calls/src/upstreamDialect.ts
+++ b/packages/calls/src/upstreamDialect.ts
@@ -23,7 +23,7 @@
   readonly noticeOf: (headers: IncomingHttpHeaders) => AnswerNotice;
 }
 
-const SHED = [429, 503];
+const SHED_STATUSES = [429, 503];
 
 /** The project's own marks. */
 export const ownDialect: UpstreamDialect = {
@@ -38,6 +38,6 @@
   isOwnAnswer: () => true,
   instanceOf: () => undefined,
   meaningOf: (status, headers) =>
-    SHED.includes(status) && headers[headerNames.notRun] !== undefined ? 'not-run' : 'answer',
+    SHED_STATUSES.includes(status) && headers[headerNames.notRun] !== undefined ? 'not-run' : 'answer',
   noticeOf: headers => answerNotice(headers[headerNames.rateLimit], headers[headerNames.leaving]),
 };
--- a/packages/calls/src/workTurns.ts
+++ b/packages/calls/src/workTurns.ts
@@ -12,12 +12,12 @@
  * Time of a turn for beginning requests, ms. Some ten requests on a busy VM, so that a turn stays far
  * below the 0.5 s after which work for a caller that left is in vain.
  */
-const SLICE_MS = 20;
+const START_SLICE_MS = 20;
 
 interface Waiter {
   readonly since: number;
   /** The turn in which its request was read. */
-  readonly turn: number;
+  readonly iteration: number;
   /** Told how long it has waited, ms. */
   readonly resume: (waitedMs: number) => void;
 }
@@ -25,8 +25,8 @@
 /** The turns of one process. */
 export class WorkTurns {
   private readonly waiting: Waiter[] = [];
-  private turn = 0;
-  private isTurnOpen = false;
+  private iteration = 0;
+  private isIterationOpen = false;
   private sliceEnd = 0;
 
   constructor(
@@ -38,10 +38,10 @@
   /** Asks for time to begin a request that was just read: undefined if there is some now; else resolves with the wait, ms, when there is. */
   take(): Promise<number> | undefined {
     const now = this.clock.now();
-    this.openTurn(now);
+    this.openIteration(now);
     const mayBegin = this.waiting.length === 0 && now < this.sliceEnd && !this.isLagging();
     if (mayBegin) return undefined;
-    return new Promise(resume => this.waiting.push({ since: now, turn: this.turn, resume }));
+    return new Promise(resume => this.waiting.push({ since: now, iteration: this.iteration, resume }));
   }
 
   /** How long the first in line has waited, ms. */
@@ -50,28 +50,28 @@
     return first ? this.clock.now() - first.since : 0;
   }
 
-  private openTurn(now: number): void {
-    if (this.isTurnOpen) return;
-    this.isTurnOpen = true;
-    this.sliceEnd = now + SLICE_MS;
-    setImmediate(() => void this.closeTurn());
+  private openIteration(now: number): void {
+    if (this.isIterationOpen) return;
+    this.isIterationOpen = true;
+    this.sliceEnd = now + START_SLICE_MS;
+    setImmediate(() => void this.closeIteration());
   }
 
   /** Called when a turn has read everything: begins those that were read before this turn, as far as the time goes. */
-  private async closeTurn(): Promise<void> {
-    const lastTurn = this.turn++;
-    this.isTurnOpen = false;
+  private async closeIteration(): Promise<void> {
+    const lastTurn = this.iteration++;
+    this.isIterationOpen = false;
     if (this.waiting.length === 0) return;
-    this.openTurn(this.clock.now());
+    this.openIteration(this.clock.now());
     for (let now = this.clock.now(); now < this.sliceEnd; now = this.clock.now()) {
       const [first] = this.waiting;
-      if (!first || first.turn >= lastTurn) return;
+      if (!first || first.iteration >= lastTurn) return;
       this.waiting.shift();
       first.resume(now - first.since);
-      await BEGUN;
+      await REQUEST_STARTED;
     }
   }
 }
 
 /** What waits for this goes on after the request that was resumed has begun. */
-const BEGUN = Promise.resolve();
+const REQUEST_STARTED = Promise.resolve();
--- a/tests/frameDelays.spec.ts
+++ b/tests/frameDelays.spec.ts
@@ -2,7 +2,7 @@
  * A daemon that had run for 50 days would have ended at its first frame to a peer after that: the milliseconds of its steady clock no longer
  * fitted into the field that tells when a frame was sent, and the codec refused it ("invalid uint32: 4294967301").
  */
-import { FrameDelays, sentAtOf } from '@cleatquay/calls';
+import { TransitDelays, toSentAt } from '@cleatquay/calls';
 import { ManualClock } from '@cleatquay/clock';
 import { LinkFrame } from '@cleatquay/protocol';
 import { expect } from 'chai';
@@ -16,7 +16,7 @@
 
 describe('frames of a link', () => {
   it('tell when they were sent also after 50 days', () => {
-    const sentAt = sentAtOf(FIFTY_DAYS_MS);
+    const sentAt = toSentAt(FIFTY_DAYS_MS);
     expect(LinkFrame.decode(LinkFrame.encode({ items: [], sentAt }).finish()).sentAt).to.equal(sentAt);
   });
 
@@ -27,12 +27,12 @@
       fc.property(offset, offset, held, (sender, receiver, delays) => {
         const clock = new ManualClock();
         clock.advance(receiver);
-        const frames = new FrameDelays(clock);
-        frames.of(sentAtOf(sender));
+        const frames = new TransitDelays(clock);
+        frames.measure(toSentAt(sender));
         for (const [i, delayMs] of delays.entries()) {
           clock.advance(10_000);
-          const sentAt = sentAtOf(sender + (i + 1) * 10_000 - delayMs);
-          expect(frames.of(sentAt)).to.be.closeTo(delayMs, ROUNDING_MS + 10 * (i + 1));
+          const sentAt = toSentAt(sender + (i + 1) * 10_000 - delayMs);
+          expect(frames.measure(sentAt)).to.be.closeTo(delayMs, ROUNDING_MS + 10 * (i + 1));
         }
       }),
       { numRuns: RUNS },
--- a/tests/headTemplates.spec.ts
+++ b/tests/headTemplates.spec.ts
@@ -1,10 +1,10 @@
 import {
   EMPTY_ITEM,
-  MOST_TEMPLATES,
+  MAX_TEMPLATES,
   NO_HEAD,
-  ReceivedTemplates,
-  SentTemplates,
-  type TravellingHead,
+  HeadDecoder,
+  HeadEncoder,
+  type EncodedHead,
 } from '@cleatquay/calls';
 import { LinkFrame, type RequestHead } from '@cleatquay/protocol';
 import { expect } from 'chai';
@@ -30,7 +30,7 @@
 };
 
 /** Bytes of a frame with one request of such a head. */
-function bytesOf(travelling: TravellingHead): number {
+function bytesOf(travelling: EncodedHead): number {
   const request = { ...travelling, body: Buffer.alloc(0), last: true };
   return LinkFrame.encode({ items: [{ ...EMPTY_ITEM, call: 1, request }], sentAt: 0 }).finish().length;
 }
@@ -65,32 +65,32 @@
   it('arrive as they were sent, whatever they have in common', () => {
     fc.assert(
       fc.property(heads, sent => {
-        const [from, to] = [new SentTemplates(), new ReceivedTemplates()];
-        expect(sent.map(head => to.restore(from.shorten(head)))).to.deep.equal(sent);
+        const [from, to] = [new HeadEncoder(), new HeadDecoder()];
+        expect(sent.map(head => to.decode(from.encode(head)))).to.deep.equal(sent);
       }),
     );
   });
 
   it('arrive as they were sent when there are more kinds than are kept', () => {
-    const [from, to] = [new SentTemplates(), new ReceivedTemplates()];
-    for (let i = 0; i < MOST_TEMPLATES + 50; i++) {
+    const [from, to] = [new HeadEncoder(), new HeadDecoder()];
+    for (let i = 0; i < MAX_TEMPLATES + 50; i++) {
       const head = { ...HEAD, headers: `Host\n${String(i)}\n` };
-      expect(to.restore(from.shorten(head))).to.deep.equal(head);
+      expect(to.decode(from.encode(head))).to.deep.equal(head);
     }
   });
 
   it('are refused when they name a template that was never defined, or is defined out of turn', () => {
-    const from = new SentTemplates();
-    const first = from.shorten(HEAD);
-    const second = from.shorten({ ...HEAD, method: 'POST' });
-    expect(new ReceivedTemplates().restore({ ...first, definition: undefined })).to.equal(undefined);
-    expect(new ReceivedTemplates().restore(second)).to.equal(undefined);
+    const from = new HeadEncoder();
+    const first = from.encode(HEAD);
+    const second = from.encode({ ...HEAD, method: 'POST' });
+    expect(new HeadDecoder().decode({ ...first, definition: undefined })).to.equal(undefined);
+    expect(new HeadDecoder().decode(second)).to.equal(undefined);
   });
 
   it('take less than half of the bytes from the second of a kind on: 60 in place of 146', () => {
-    const from = new SentTemplates();
-    from.shorten(HEAD);
+    const from = new HeadEncoder();
+    from.encode(HEAD);
     const whole = bytesOf({ ...NO_HEAD, head: HEAD });
-    expect(bytesOf(from.shorten(HEAD))).to.be.below(whole / 2);
+    expect(bytesOf(from.encode(HEAD))).to.be.below(whole / 2);
   });
 });
--- a/tests/linkServer.spec.ts
+++ b/tests/linkServer.spec.ts
@@ -59,7 +59,7 @@
       new LinkServer(socket as never, {
         clock,
         handle,
-        turns: new WorkTurns(clock, () => isLagging),
+        scheduler: new WorkTurns(clock, () => isLagging),
         configuration: NO_CONFIGURATION,
       }),
     ).to.be.instanceOf(LinkServer);
@@ -85,7 +85,7 @@
     const server = new LinkServer(socket as never, {
       clock: manual,
       handle,
-      turns: new WorkTurns(manual, () => true),
+      scheduler: new WorkTurns(manual, () => true),
       configuration: NO_CONFIGURATION,
     });
     server.receive(bytesOf(REQUEST));
@@ -110,7 +110,7 @@
           begun.push(context?.remainingMs);
           return Promise.resolve(answerOf(endOf(refusalOf('overloaded', ''), 0)));
         },
-        turns: new WorkTurns(manual, () => false),
+        scheduler: new WorkTurns(manual, () => false),
         configuration: NO_CONFIGURATION,
       });
       // The other end's clock is 500 s ahead, and its first word was on its way for 3 ms.
--- a/tests/linkStream.spec.ts
+++ b/tests/linkStream.spec.ts
@@ -1,4 +1,4 @@
-import { EMPTY_ITEM, LinkStream, NO_HEAD } from '@cleatquay/calls';
+import { EMPTY_ITEM, FrameStream, NO_HEAD } from '@cleatquay/calls';
 import { type LinkFrame } from '@cleatquay/protocol';
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -35,11 +35,11 @@
     fc.assert(
       fc.property(sizes, fc.array(fc.integer({ min: 1, max: 30_000 }), { minLength: 1 }), (bodies, cuts) => {
         const sender = connection();
-        const writer = new LinkStream(sender as never, { onFrame: () => undefined, onEnd: () => undefined });
+        const writer = new FrameStream(sender as never, { onFrame: () => undefined, onEnd: () => undefined });
         bodies.forEach((bytes, index) => writer.write(frameWith(index + 1, bytes)));
         const sent = Buffer.concat(sender.written);
         const received: LinkFrame[] = [];
-        const reader = new LinkStream(connection() as never, {
+        const reader = new FrameStream(connection() as never, {
           onFrame: frame => received.push(frame),
           onEnd: () => undefined,
         });
@@ -57,7 +57,7 @@
   const endedBy = (bytes: Buffer) => {
     const ends: string[] = [];
     const socket = connection();
-    const reader = new LinkStream(socket as never, {
+    const reader = new FrameStream(socket as never, {
       onFrame: () => undefined,
       onEnd: why => ends.push(why),
     });
