--- a/packages/calls/src/answerNotice.ts
+++ b/packages/calls/src/answerNotice.ts
@@ -1,37 +1,36 @@
-/** What an upstream says of itself in the headers of its answers: how much it takes, and that it leaves. */
+/** Parses what an upstream reports of itself in response headers: its rate limit, and that it is shutting down. */
 
-/** A header as node and undici give it. */
+/** The value of a header as node and undici represent it. */
 export type HeaderValue = string | string[] | undefined;
 
-/** What one answer says of the upstream that gave it. */
+/** What one response reports of the upstream that sent it. */
 export interface AnswerNotice {
   /**
-   * Requests a second that the upstream takes from all daemons together. `none` if it names no limit; `unclear` if what
-   * it names is no rate, which says nothing.
+   * Requests per second that the upstream accepts from all daemons together. `none` if it reports no limit; `unclear` if
+   * the header is not a valid rate, which changes nothing.
    */
   readonly rateLimit: number | 'none' | 'unclear';
-  /** It takes no new work any more. */
+  /** The upstream is shutting down and accepts no new requests. */
   readonly isLeaving: boolean;
 }
 
-/** What most answers say. */
+/** The notice of a response without these headers, as most are. */
 export const NOTHING_SAID: AnswerNotice = { rateLimit: 'none', isLeaving: false };
 
 const DECIMAL = /^(?:\d+\.?\d*|\.\d+)$/;
 const LEAVING_VALUE = '1';
 
-/** Reads the two headers of an answer. */
 export function answerNotice(rateLimit: HeaderValue, leaving: HeaderValue): AnswerNotice {
   if (rateLimit === undefined && leaving === undefined) return NOTHING_SAID;
   return { rateLimit: parseRateLimit(rateLimit), isLeaving: headerValues(leaving).includes(LEAVING_VALUE) };
 }
 
-/** Whether a number can be a rate; 0 is one. */
+/** Whether a number is a valid rate; 0 is valid. */
 export function isRate(number: number): boolean {
   return Number.isFinite(number) && number >= 0;
 }
 
-/** Of several that are named at once the lowest, which keeps them all. */
+/** Of several limits, the lowest applies, since it satisfies all of them. */
 function parseRateLimit(header: HeaderValue): AnswerNotice['rateLimit'] {
   if (header === undefined) return 'none';
   const rates = headerValues(header)
@@ -41,7 +40,7 @@
   return rates.length === 0 ? 'unclear' : Math.min(...rates);
 }
 
-/** A header that was sent twice may come as one, with a comma between. */
+/** A repeated header may arrive as a single one with a comma-separated list. */
 function headerValues(header: HeaderValue): string[] {
   return [header ?? []].flat().flatMap(value => value.split(',').map(part => part.trim()));
 }
--- a/packages/calls/src/answers.ts
+++ b/packages/calls/src/answers.ts
@@ -1,37 +1,37 @@
-/** Answers: cut into parts with length and check, verified, kept, and given again. */
+/** Splits responses into parts, verifies them by length and checksum, and records and replays complete ones. */
 import { type AnswerHead, type AnswerPart, type Load, noLoad } from '@cleatquay/protocol';
 import { crc32 } from 'node:zlib';
 import { type CallAnswer, answerOf } from './callHandler.js';
 
-/** Answers up to this size travel in one part, and can be tried again if they break off. */
+/** Size from which a part is sent. A response up to this size is a single part, so the request can be retried if the response is truncated. */
 export const PART_BYTES = 65_536;
-/** Larger answers of non-idempotent requests are not kept. */
+/** Larger responses to non-idempotent requests are not stored for replay. */
 export const MAX_RECORDED_BYTES = 1_048_576;
 
-/** An answer kept whole. */
+/** A complete response that is stored for replay. */
 export interface RecordedAnswer {
   readonly head: AnswerHead;
   readonly body: Buffer;
 }
 
-/** Adds up length and check of a body. */
+/** Computes length and CRC-32 of a body. */
 export class BodyCheck {
   private length = 0;
   private crc = 0;
 
   add(chunk: Uint8Array): void {
-    // Node's crc32 of a buffer without memory is 0, whatever sum it is to go on from.
+    // For a buffer without a backing store, node's crc32 returns 0 and ignores the previous value.
     if (chunk.length === 0) return;
     this.length += chunk.length;
     this.crc = crc32(chunk, this.crc);
   }
 
-  /** What the sender says at the end. */
+  /** The values that the sender appends to the body. */
   get end(): { length: number; crc32: number } {
     return { length: this.length, crc32: this.crc };
   }
 
-  /** Whether the sender saw the same body. */
+  /** Whether the sender computed the same values. */
   agrees(end: { length: number; crc32: number }): boolean {
     return end.length === this.length && end.crc32 === this.crc;
   }
@@ -39,7 +39,7 @@
 
 const NO_BYTES = Buffer.alloc(0);
 
-/** One part of an answer. */
+/** Creates a part of a response; omitted fields get their defaults. */
 export function createPart(part: Partial<AnswerPart>): AnswerPart {
   return {
     head: undefined,
@@ -53,28 +53,28 @@
   };
 }
 
-/** Cuts an answer into parts; a small one is a single part. `finish` is asked at the very end. */
+/** Splits a response into parts; a small one is a single part. `finish` is called for the last part. */
 export function toAnswer(
   head: AnswerHead,
   start: Buffer,
   rest: AsyncIterable<Buffer> | undefined,
   finish: () => { load: Load; unusedRetryTokens: number },
 ): CallAnswer {
-  const check = new BodyCheck();
-  check.add(start);
-  if (!rest) return answerOf(createPart({ head, body: start, end: check.end, ...finish() }));
-  return { first: createPart({ head, body: start }), rest: splitBody(check, rest, finish) };
+  const checksum = new BodyCheck();
+  checksum.add(start);
+  if (!rest) return answerOf(createPart({ head, body: start, end: checksum.end, ...finish() }));
+  return { first: createPart({ head, body: start }), rest: splitBody(checksum, rest, finish) };
 }
 
 async function* splitBody(
-  check: BodyCheck,
+  checksum: BodyCheck,
   body: AsyncIterable<Buffer>,
   finish: () => { load: Load; unusedRetryTokens: number },
 ): AsyncGenerator<AnswerPart> {
   let pending: Buffer[] = [];
   let pendingBytes = 0;
   for await (const chunk of body) {
-    check.add(chunk);
+    checksum.add(chunk);
     pending.push(chunk);
     pendingBytes += chunk.length;
     if (pendingBytes < PART_BYTES) continue;
@@ -82,31 +82,32 @@
     pending = [];
     pendingBytes = 0;
   }
-  yield createPart({ body: Buffer.concat(pending), end: check.end, ...finish() });
+  yield createPart({ body: Buffer.concat(pending), end: checksum.end, ...finish() });
 }
 
-/** A kept answer as its single part. */
+/** A stored response as a single part. */
 export function replay({ head, body }: RecordedAnswer): AnswerPart {
-  const check = new BodyCheck();
-  check.add(body);
-  return createPart({ head, body, end: check.end, load: noLoad() });
+  const checksum = new BodyCheck();
+  checksum.add(body);
+  return createPart({ head, body, end: checksum.end, load: noLoad() });
 }
 
-/** Collects parts; gives the whole answer once its end has come and agrees. */
+/** Collects the parts of a response until it is complete and verified. */
 export class AnswerRecorder {
   private head: AnswerHead | undefined;
   private chunks: Buffer[] = [];
   private bytes = 0;
-  private readonly check = new BodyCheck();
+  private readonly checksum = new BodyCheck();
 
-  /** Undefined until the end, for refusals, and for answers too large to keep. */
+  /** Returns the response with its last part; undefined before that, for refusals, and if the response is too large or fails the check. */
   add(part: AnswerPart): RecordedAnswer | undefined {
     this.head ??= part.head;
-    this.check.add(part.body);
+    this.checksum.add(part.body);
     this.bytes += part.body.length;
     if (this.bytes <= MAX_RECORDED_BYTES) this.chunks.push(part.body);
     else this.chunks = [];
-    const isWhole = part.end !== undefined && this.check.agrees(part.end) && this.bytes <= MAX_RECORDED_BYTES;
-    return isWhole && this.head ? { head: this.head, body: Buffer.concat(this.chunks) } : undefined;
+    const isComplete =
+      part.end !== undefined && this.checksum.agrees(part.end) && this.bytes <= MAX_RECORDED_BYTES;
+    return isComplete && this.head ? { head: this.head, body: Buffer.concat(this.chunks) } : undefined;
   }
 }
--- a/packages/calls/src/headTemplates.ts
+++ b/packages/calls/src/headTemplates.ts
@@ -1,16 +1,17 @@
 /**
- * What the heads of many requests on a link have in common travels once: a template, which later heads name by its
- * number. Less than half of a call's bytes are left, which go between failure domains and through the codec at both ends. The idea is that of HPACK's dynamic table (RFC 7541, section 2.3.2), without its eviction.
+ * Header compression for links. The fields that many request heads have in common are sent once, as a template that later
+ * heads refer to by its number. That saves more than half of the bytes of a call between failure domains and in the codec
+ * of both sides. Modelled on the dynamic table of HPACK (RFC 7541, section 2.3.2), without eviction.
  */
 import { type CallContext, type HeadTemplate, type RequestHead, type RequestPart } from '@cleatquay/protocol';
 
-/** Templates of a link, at most: some 300 bytes each at both ends. Heads beyond them travel whole. */
+/** Limit of templates per link, each of some 300 bytes on both sides. Further heads are sent uncompressed. */
 export const MAX_TEMPLATES = 256;
 
-/** A head as it travels: the fields of the first part of a request that stand for it. */
+/** A head as it is sent: the fields of a request's first part that encode it. */
 export type EncodedHead = Pick<RequestPart, 'head' | 'template' | 'definition' | 'rootLength'>;
 
-/** Parts after the first have none. */
+/** For parts after the first, which have no head. */
 export const NO_HEAD: EncodedHead = {
   head: undefined,
   template: 0,
@@ -18,11 +19,11 @@
   rootLength: 0,
 };
 
-/** The calling end's templates, by what they hold. */
+/** The client side of a link. */
 export class HeadEncoder {
   private readonly numberByKey = new Map<string, number>();
 
-  /** A head that is sent right after this, and before any other. */
+  /** Encodes a head. Heads have to be sent in the order in which they are encoded, since the first use of a template defines it. */
   encode(head: RequestHead): EncodedHead {
     const { context } = head;
     if (!context || context.toHome) return { ...NO_HEAD, head };
@@ -59,11 +60,11 @@
   }
 }
 
-/** The called end's templates, by number. */
+/** The server side of a link. */
 export class HeadDecoder {
   private readonly templates: HeadTemplate[] = [];
 
-  /** The whole head; undefined where the part has none, or names a template that was never defined. */
+  /** Decodes a head; undefined if the part has none, or refers to a template that was never defined. */
   decode({ head, template: number, definition, rootLength }: EncodedHead): RequestHead | undefined {
     if (!head?.context || number === 0) return head;
     if (definition && number === this.templates.length + 1 && number <= MAX_TEMPLATES)
@@ -91,7 +92,7 @@
   return { service, method, headers, route, idempotent, originService, targetEpoch };
 }
 
-/** Names what a template holds; the headers, which hold line feeds themselves, come last. */
+/** Identifies a template by its content. The headers come last, since they contain line feeds themselves. */
 function templateKey(template: HeadTemplate): string {
   const { service, method, headers, route, idempotent, originService, targetEpoch } = template;
   return `${service}\n${method}\n${route}\n${String(idempotent)}\n${originService}\n${String(targetEpoch)}\n${headers}`;
--- a/packages/calls/src/headers.ts
+++ b/packages/calls/src/headers.ts
@@ -1,32 +1,33 @@
-/** HTTP header names of the system, and which headers pass through. */
-/** Headers that callers, upstreams and daemons exchange. */
+/** The HTTP headers that callers, upstreams and daemons exchange, and the rules for forwarding all others. */
+
+/** Headers that are defined by cleatquay, or have a meaning for it. */
 export const headerNames = {
-  /** On requests: the id to be known by; on answers: the id that the request had. */
+  /** On requests: the id to use, if the caller has one; on responses: the id that the request had. */
   requestId: 'cleatquay-request-id',
-  /** From an upstream: the request id that it works for. */
+  /** From an upstream, on calls that it makes: the id of the request that it is processing. */
   parent: 'cleatquay-parent',
-  /** From an upstream: names this call among those it makes for its request. */
+  /** From an upstream: identifies the call among those that it makes for the same request. */
   callKey: 'cleatquay-call-key',
-  /** Milliseconds that the caller, or the upstream, has. */
+  /** On requests from callers and to upstreams: the time left, in milliseconds. */
   timeoutMs: 'cleatquay-timeout-ms',
-  /** answered, not-run, unknown or failed. */
+  /** One of `answered`, `not-run`, `unknown` and `failed`. */
   outcome: 'cleatquay-outcome',
   retryAfterMs: 'cleatquay-retry-after-ms',
-  /** From an upstream, on 503: it ran nothing. */
+  /** From an upstream, on 429 or 503: it did not run the request. */
   notRun: 'cleatquay-not-run',
-  /** From an upstream: requests a second that it takes from all daemons together, a decimal number. */
+  /** From an upstream: requests per second that it accepts from all daemons together, a decimal number. */
   rateLimit: 'cleatquay-rate-limit',
-  /** From an upstream, "1": it takes no new work any more. */
+  /** From an upstream, `1`: it is shutting down and accepts no new requests. */
   leaving: 'cleatquay-leaving',
   idempotencyKey: 'idempotency-key',
-  /** On requests to upstreams: the organisation whose key the request bore. */
+  /** On requests to upstreams: the organisation whose key the request was sent with. */
   organisation: 'cleatquay-organisation',
 } as const;
 
-/** Bears a caller's key, where requests need one. */
+/** Carries a caller's key, where requests need one. */
 export const CREDENTIALS = 'authorization';
 
-/** Headers that concern one connection, or the framing of one message. */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), and those that concern the framing of one message. */
 export const CONNECTION_HEADERS: readonly string[] = [
   'connection',
   'keep-alive',
@@ -40,51 +41,51 @@
   'expect',
 ];
 
-/** What our own interface doesn't pass on. */
+/** Headers that the native interface does not forward; lower case. */
 export const OWN_HEADERS: ReadonlySet<string> = new Set([
   ...CONNECTION_HEADERS,
   'host',
   ...Object.values(headerNames),
 ]);
 
-/** The same where requests bear keys. */
+/** The same for requests that carry keys, which must not reach upstreams. */
 export const OWN_HEADERS_WITH_KEYS: ReadonlySet<string> = new Set([...OWN_HEADERS, CREDENTIALS]);
 
 /**
- * A list of headers as one text, names and values by turns, each ended by a line feed, which no header can hold. One
- * text costs the inner protocol a tenth of what a message for each header does.
+ * A list of headers as one string of alternating names and values, each terminated by a line feed, which no header can
+ * contain. One string costs the peer protocol a tenth of what a message per header does.
  */
 export type HeaderBlock = string;
 
-/** Those that are passed on of node's raw headers; names of `dropped` are in lower case. */
+/** The forwarded headers among node's raw headers; names in `stripped` are in lower case. */
 export function passedRawHeaders(
   raw: readonly string[],
-  dropped: ReadonlySet<string> = OWN_HEADERS,
+  stripped: ReadonlySet<string> = OWN_HEADERS,
 ): HeaderBlock {
   let block = '';
   for (let i = 0; i + 1 < raw.length; i += 2) {
     const name = raw[i] ?? '';
-    if (!dropped.has(name.toLowerCase())) block += `${name}\n${raw[i + 1] ?? ''}\n`;
+    if (!stripped.has(name.toLowerCase())) block += `${name}\n${raw[i + 1] ?? ''}\n`;
   }
   return block;
 }
 
-/** Those that are passed on of an answer's headers, as undici gives them. */
+/** The forwarded headers of a response, as represented by undici. */
 export function passedHeaders(
   headers: Record<string, string | string[] | undefined>,
-  dropped: ReadonlySet<string> = OWN_HEADERS,
+  stripped: ReadonlySet<string> = OWN_HEADERS,
 ): HeaderBlock {
   let block = '';
   for (const name in headers) {
     const value = headers[name];
-    if (value === undefined || dropped.has(name)) continue;
+    if (value === undefined || stripped.has(name)) continue;
     if (typeof value === 'string') block += `${name}\n${value}\n`;
-    else for (const one of value) block += `${name}\n${one}\n`;
+    else for (const item of value) block += `${name}\n${item}\n`;
   }
   return block;
 }
 
-/** Names and values by turns, as node and undici take them. */
+/** Alternating names and values, as node and undici accept them. */
 export function headerList(block: HeaderBlock): string[] {
   const list = block.split('\n');
   list.pop();
--- a/packages/calls/src/heardNotices.ts
+++ b/packages/calls/src/heardNotices.ts
@@ -1,12 +1,13 @@
 /**
- * What this daemon has heard of the upstreams beside others. The daemon beside an upstream keeps to what that says; one
- * that was started again hasn't heard it, and is told with the requests that it is sent, until it says more itself.
+ * Notices of the upstreams on other VMs, as received from their daemons. A daemon applies the notices of its local
+ * upstream; after a restart it has none, so senders include the last known notice in the requests that they send to it,
+ * until it reports a notice itself or responds without one.
  */
 import { type AnswerPart, type UpstreamNotice } from '@cleatquay/protocol';
 import { type Candidate } from '@cleatquay/routing';
 
 interface ReceivedNotice {
-  /** The process from which it was heard. */
+  /** Identifies the daemon's process that sent it. */
   readonly epoch: number;
   readonly notice: UpstreamNotice;
 }
@@ -15,27 +16,30 @@
 export class HeardNotices {
   private readonly byAddress = new Map<string, Map<string, ReceivedNotice>>();
 
-  /** Takes the first part of an answer or a refusal. */
+  /**
+   * Records what the first part of a response reports. A refusal without a notice does not show that the upstream has none:
+   * the daemon itself may have sent it.
+   */
   heard(service: string, { address, epoch }: Candidate, { head, notice }: AnswerPart): void {
     if (notice) this.store(address, service, { epoch, notice });
     else if (head && this.byAddress.size > 0) this.byAddress.get(address)?.delete(service);
   }
 
-  /** What the daemon has to be told; undefined if it knows, or there is nothing to know. */
+  /** The notice to send to a daemon; undefined if there is none or the same process has reported it. */
   toTell(service: string, { address, epoch }: Candidate): UpstreamNotice | undefined {
     if (this.byAddress.size === 0) return undefined;
-    const heard = this.byAddress.get(address)?.get(service);
-    return heard?.epoch === epoch ? undefined : heard?.notice;
+    const received = this.byAddress.get(address)?.get(service);
+    return received?.epoch === epoch ? undefined : received?.notice;
   }
 
-  /** Drops what was heard from a daemon that is gone for good. */
+  /** Discards the notices of a daemon that was removed permanently. */
   forget(address: string): void {
     this.byAddress.delete(address);
   }
 
-  private store(address: string, service: string, heard: ReceivedNotice): void {
-    const known = this.byAddress.get(address);
-    if (known) known.set(service, heard);
-    else this.byAddress.set(address, new Map([[service, heard]]));
+  private store(address: string, service: string, received: ReceivedNotice): void {
+    const byService = this.byAddress.get(address);
+    if (byService) byService.set(service, received);
+    else this.byAddress.set(address, new Map([[service, received]]));
   }
 }
--- a/packages/calls/src/index.ts
+++ b/packages/calls/src/index.ts
@@ -1,4 +1,4 @@
-/** One client request through the daemons: deadlines, retries, at most once, and what its caller is told. */
+/** Carries a request from its caller through the daemons to an upstream, with deadlines, retries and at-most-once execution. */
 export { type AnswerNotice, NOTHING_SAID, answerNotice, isRate } from './answerNotice.js';
 export { BodyCheck, replay } from './answers.js';
 export {
@@ -53,7 +53,7 @@
 export { Senders } from './senders.js';
 export { Relay, type RelayOptions, type RelayedRequest } from './relay.js';
 export { type CalledRoute, LearnedCalls } from './learnedCalls.js';
-export { MAX_TEMPLATES, NO_HEAD, HeadDecoder, HeadEncoder, type EncodedHead } from './headTemplates.js';
+export { type EncodedHead, HeadDecoder, HeadEncoder, MAX_TEMPLATES, NO_HEAD } from './headTemplates.js';
 export { EMPTY_ITEM } from './linkParts.js';
 export { LinkServer } from './linkServer.js';
 export { FrameStream, type FrameStreamEvents } from './linkStream.js';
--- a/packages/calls/src/innerServer.ts
+++ b/packages/calls/src/innerServer.ts
@@ -1,4 +1,4 @@
-/** The server of the inner protocol: links, and gRPC for what is rare, on one port. */
+/** The server of the peer protocol: links for calls, and gRPC for rare requests, on one port. */
 import {
   type ConfigurationAnswer,
   type ConfigurationRequest,
@@ -13,7 +13,7 @@
 import { LinkServer } from './linkServer.js';
 import { type WorkTurns } from './workTurns.js';
 
-/** What peers may ask of this daemon. */
+/** Handlers of the requests that peers send to this daemon. */
 export interface InnerHandlers {
   readonly clock: Clock;
   readonly exchange: CallHandler;
@@ -26,7 +26,7 @@
 export class InnerServer implements AsyncDisposable {
   private readonly grpcServer = new Server({
     'grpc.max_receive_message_length': 4 * 1_048_576,
-    // Ends connections of peers that were cut off and have made new ones since.
+    // Closes dead connections of peers that were partitioned and have reconnected since.
     'grpc.keepalive_time_ms': 10_000,
     'grpc.keepalive_timeout_ms': 5000,
   });
@@ -40,17 +40,17 @@
     this.grpcServer.addService(InnerService, {
       seal: (
         call: { request: SealRequest },
-        callback: (error: object | null, answer?: SealAnswer) => void,
+        callback: (error: object | null, response?: SealAnswer) => void,
       ) => {
         handlers.seal(call.request).then(
-          answer => callback(null, answer),
+          response => callback(null, response),
           (error: unknown) => callback({ code: status.INTERNAL, details: String(error) }),
         );
       },
     });
   }
 
-  /** Listens on ip:port and gives the port. */
+  /** Listens on ip:port and returns the port. */
   async listen(ip: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.listener.once('error', reject);
@@ -62,19 +62,19 @@
     this.listener.close();
     for (const link of [...this.links.values()]) link.close();
     const closed = new Promise<void>(resolve => this.grpcServer.tryShutdown(() => resolve()));
-    const forced = setTimeout(() => this.grpcServer.forceShutdown(), SHUTDOWN_TIMEOUT_MS);
+    const timeout = setTimeout(() => this.grpcServer.forceShutdown(), SHUTDOWN_TIMEOUT_MS);
     await closed;
-    clearTimeout(forced);
+    clearTimeout(timeout);
   }
 
-  /** A connection tells by its first byte what it is: gRPC's begin with a text, a frame's length with a zero. */
+  /** Detects the protocol by the first byte: HTTP/2 begins with a text, the length of a frame with a zero. */
   private accept(socket: Socket): void {
-    const dropped = () => socket.destroy();
-    socket.once('error', dropped);
-    socket.setTimeout(FIRST_BYTE_TIMEOUT_MS, dropped);
+    const destroy = () => socket.destroy();
+    socket.once('error', destroy);
+    socket.setTimeout(FIRST_BYTE_TIMEOUT_MS, destroy);
     socket.once('data', (first: Buffer) => {
       socket.setTimeout(0);
-      socket.off('error', dropped);
+      socket.off('error', destroy);
       if (first[0] === HTTP2_PREFACE_BYTE) this.injectGrpc(socket, first);
       else this.serveLink(socket, first);
     });
@@ -95,9 +95,9 @@
   }
 }
 
-/** First byte of HTTP/2's preface, "PRI". */
+/** "P", the first byte of the connection preface of HTTP/2 ("PRI"), on which gRPC runs. */
 const HTTP2_PREFACE_BYTE = 0x50;
-/** A peer that has connected says something at once; a connection without a word is closed after so long, ms. */
+/** A peer sends data as soon as it has connected; a connection without any data is closed after this time. */
 const FIRST_BYTE_TIMEOUT_MS = 5000;
 
 const SHUTDOWN_TIMEOUT_MS = 500;
--- a/packages/calls/src/link.ts
+++ b/packages/calls/src/link.ts
@@ -1,4 +1,4 @@
-/** The calling end of a link: many calls to one peer over one long-lived connection. */
+/** The client side of a link: a long-lived TCP connection to one peer that multiplexes many calls. */
 import { type CancelSignal, type Clock, SendTime } from '@cleatquay/clock';
 import {
   type AnswerPart,
@@ -13,42 +13,41 @@
 import { PART_BYTES } from './answers.js';
 import { type CallAnswer, type CallBody, answerOf, isLast } from './callHandler.js';
 import { toSentAt } from './frameDelays.js';
-import { NO_HEAD, HeadEncoder } from './headTemplates.js';
-import { FrameWriter, AsyncQueue, SendWindow } from './linkParts.js';
+import { HeadEncoder, NO_HEAD } from './headTemplates.js';
+import { AsyncQueue, FrameWriter, SendWindow } from './linkParts.js';
 import { FrameStream } from './linkStream.js';
 import { LostContact } from './lostContact.js';
 
-/** How often a link with calls is looked at, ms. */
+/** How often a link with pending calls is checked. */
 export const LIVENESS_CHECK_INTERVAL_MS = 50;
-/** A peer that has said nothing for so long while calls wait is pinged, ms: many round trips of 2 ms. */
+/** A peer that sends nothing for this long while calls are pending is pinged: many round trips of 2 ms. */
 const PING_AFTER_SILENCE_MS = 100;
-/** A peer that has not answered that ping for so long either gets no new calls if another can take them, ms. */
+/** A peer that sends nothing for this long, not even a pong, gets no new calls if another peer can take them. */
 const UNRESPONSIVE_AFTER_MS = 300;
 /**
- * A peer that has said nothing for so long, pings included, is out of contact, ms. Longer than the pauses of a busy
- * daemon that warms up, shorter than most callers' targets.
+ * A peer that sends nothing for this long, not even a pong, is unreachable. Longer than the pauses of a busy daemon
+ * that warms up, shorter than the latency targets of most callers.
  */
 const UNREACHABLE_AFTER_MS = 900;
 
-/** A call whose first part has not come yet, or whose further parts are being read. */
+/** A call that waits for its first response part, or whose later parts are being read. */
 interface PendingCall {
-  /** Takes the first part; most answers have no other. */
+  /** Receives the first part, which is the only one of most responses. */
   readonly onFirstPart: (part: AnswerPart) => void;
-  /** Ends the call, whether its first part has come or not. */
+  /** Ends the call with an error, before or after its first part. */
   readonly onFailure: (error: LostContact) => void;
-  /** Parts after the first. */
   laterParts: AsyncQueue<AnswerPart> | undefined;
-  /** Made for requests that are sent in parts. */
+  /** Defined only for requests that are sent in several parts. */
   window: SendWindow | undefined;
 }
 
-/** A question to the peer's configuration that waits for its answer. */
+/** A configuration request that waits for the peer's response. */
 interface PendingConfiguration {
   readonly resolve: (answer: ConfigurationAnswer) => void;
   readonly reject: (error: LostContact) => void;
 }
 
-/** One link. It ends when the stream does, or when the peer falls silent. */
+/** Ends when the connection closes or the peer becomes unreachable. */
 export class LinkClient {
   private readonly calls = new Map<number, PendingCall>();
   private readonly pendingConfigurations = new Map<number, PendingConfiguration>();
@@ -68,7 +67,7 @@
     private readonly clock: Clock,
     private readonly address: string,
     socket: Socket,
-    /** Told once when the link has ended. */
+    /** Called once when the link has ended. */
     private readonly onEnd: () => void,
   ) {
     this.lastReceivedAt = clock.now();
@@ -80,39 +79,42 @@
     this.writer = new FrameWriter(items => this.stream.write({ items, sentAt: toSentAt(sendTime.now()) }));
   }
 
-  /** Resolves once the peer has answered: a frozen process lets connections in and then says nothing. */
+  /**
+   * Resolves once the peer has responded to a ping. The TCP handshake alone proves nothing: the kernel accepts
+   * connections for a stopped process, too.
+   */
   async waitUntilOpen(): Promise<void> {
-    const heard = new Promise<void>(resolve => (this.onFirstFrame = resolve));
+    const firstFrame = new Promise<void>(resolve => (this.onFirstFrame = resolve));
     this.ping(this.clock.now());
-    await heard;
+    await firstFrame;
     if (this.failure) throw new LostContact(this.failure.message, true);
   }
 
-  /** Whether calls wait for the peer, or it is not known yet whether it is there. */
+  /** Whether calls are pending, or the peer is unresponsive and its state has to be checked on. */
   get isInUse(): boolean {
     return this.calls.size > 0 || this.pendingConfigurations.size > 0 || this.isPeerUnresponsive;
   }
 
-  /** Whether the peer owes an answer, to a ping at least, for longer than it should. */
+  /** Whether the peer has sent nothing for longer than expected, not even a pong, while calls were pending. */
   get isUnresponsive(): boolean {
     return this.isPeerUnresponsive;
   }
 
-  /** When the peer was last heard, on this daemon's clock. */
+  /** When the peer last sent something, on this daemon's clock. */
   get lastActivityAt(): number {
     return this.lastReceivedAt;
   }
 
-  /** One call. Fails with LostContact when it ends without its last part. */
+  /** Makes one call. Rejects with ConnectionLoss if the call ends before its last part. */
   exchange(head: RequestHead, body: CallBody, signal: CancelSignal): Promise<CallAnswer> {
     if (this.failure) return Promise.reject(new LostContact(this.failure.message, true));
-    if (signal.aborted) return Promise.reject(new LostContact('The call was given up.', true));
+    if (signal.aborted) return Promise.reject(new LostContact('The call was cancelled.', true));
     const number = ++this.lastCallNumber;
     if (!this.isInUse) this.resetSilenceTimer();
     return new Promise((resolve, reject) => {
-      const abandon = () => call.onFailure(new LostContact('The call was given up.', false));
+      const cancel = () => call.onFailure(new LostContact('The call was cancelled.', false));
       const finish = (isComplete: boolean) => {
-        signal.removeEventListener('abort', abandon);
+        signal.removeEventListener('abort', cancel);
         this.endCall(number, call, isComplete);
       };
       const call: PendingCall = {
@@ -121,8 +123,8 @@
             finish(true);
             return resolve(answerOf(part));
           }
-          const rest = (call.laterParts = new AsyncQueue<AnswerPart>());
-          resolve({ first: part, rest: this.readLaterParts(number, rest, finish) });
+          const parts = (call.laterParts = new AsyncQueue<AnswerPart>());
+          resolve({ first: part, rest: this.readLaterParts(number, parts, finish) });
         },
         onFailure: error => {
           call.laterParts?.fail(error);
@@ -133,15 +135,15 @@
         window: undefined,
       };
       this.calls.set(number, call);
-      signal.addEventListener('abort', abandon, { once: true });
+      signal.addEventListener('abort', cancel, { once: true });
       if (Buffer.isBuffer(body)) {
         const request: RequestPart = { ...this.headEncoder.encode(head), body, last: true };
         this.writer.send({ call: number, request });
-      } else this.sendBodyStream(number, call, head, body).catch(abandon);
+      } else this.sendBodyStream(number, call, head, body).catch(cancel);
     });
   }
 
-  /** What this daemon's configuration lacks of the peer's. Fails with LostContact when the link ends first. */
+  /** Fetches what this daemon's configuration lacks of the peer's. Rejects with ConnectionLoss if the link ends first. */
   fetchConfiguration(configurationRequest: ConfigurationRequest): Promise<ConfigurationAnswer> {
     if (this.failure) return Promise.reject(new LostContact(this.failure.message, true));
     const number = ++this.lastCallNumber;
@@ -188,7 +190,7 @@
     this.onEnd();
   }
 
-  /** Sends a request whose body is still coming. */
+  /** Sends a request whose body is still being received. */
   private async sendBodyStream(
     number: number,
     call: PendingCall,
@@ -201,8 +203,8 @@
     let headToSend: RequestHead | undefined = head;
     const flush = (last: boolean) => {
       if (this.calls.has(number)) {
-        const travelling = headToSend ? this.headEncoder.encode(headToSend) : NO_HEAD;
-        const request: RequestPart = { ...travelling, body: Buffer.concat(pending), last };
+        const encodedHead = headToSend ? this.headEncoder.encode(headToSend) : NO_HEAD;
+        const request: RequestPart = { ...encodedHead, body: Buffer.concat(pending), last };
         this.writer.send({ call: number, request });
       }
       headToSend = undefined;
@@ -240,22 +242,22 @@
     this.pendingConfigurations.delete(number);
   }
 
-  /** The first call after a pause: the peer owed nothing until now. */
+  /** Called at the first call after an idle period, in which the peer had no reason to send anything. */
   private resetSilenceTimer(): void {
     this.lastReceivedAt = this.clock.now();
     this.lastCheckedAt = this.lastReceivedAt;
   }
 
-  /** Looks whether the peer still answers while calls wait for it; to be asked every `LINK_CHECK_MS`. */
+  /** Checks that the peer still responds while calls are pending; to be called every `LIVENESS_CHECK_INTERVAL_MS`. */
   checkLiveness(): void {
     const now = this.clock.now();
     if (!this.isInUse || this.failure) return;
-    // A process that was itself stopped has not listened: what came meanwhile is read after this.
+    // A late check means that this process was stopped itself: what the peer sent meanwhile has not been read yet.
     if (now - this.lastCheckedAt > UNRESPONSIVE_AFTER_MS / 2) this.lastReceivedAt = now;
     this.lastCheckedAt = now;
     const silence = now - this.lastReceivedAt;
     if (silence > UNREACHABLE_AFTER_MS)
-      return this.fail(`has been silent for ${String(Math.round(silence))} ms`);
+      return this.fail(`has sent nothing for ${String(Math.round(silence))} ms`);
     this.isPeerUnresponsive = silence > UNRESPONSIVE_AFTER_MS;
     if (silence > PING_AFTER_SILENCE_MS && now - this.lastPingedAt > PING_AFTER_SILENCE_MS) this.ping(now);
   }
--- a/packages/calls/src/linkParts.ts
+++ b/packages/calls/src/linkParts.ts
@@ -1,12 +1,12 @@
-/** What both ends of a link need: frames that gather items, queues of parts, and windows that hold senders back. */
+/** Parts shared by both sides of a link: batching of items into frames, and flow control of message bodies. */
 import { type LinkItem } from '@cleatquay/protocol';
 
-/** Parts of one call that may be under way without having been taken; with 64 KiB parts, 256 KiB a call. */
+/** Parts of one call that may be sent before the receiver has consumed them: 256 KiB a call with parts of 64 KiB. */
 const WINDOW_PARTS = 4;
-/** A frame is written early beyond so many bytes, well below the longest that a peer takes. */
+/** A frame with more body bytes is written before the iteration ends; well below the longest that a peer accepts. */
 const MAX_GATHERED_BYTES = 512 * 1024;
 
-/** An item that says nothing; what is sent is added to it. */
+/** The default values of an item's fields. */
 export const EMPTY_ITEM: LinkItem = {
   call: 0,
   request: undefined,
@@ -19,14 +19,14 @@
   configuration: undefined,
 };
 
-/** Gathers the items of one turn of the event loop into one frame, which costs one write. */
+/** Batches the items of one iteration of the event loop into one frame, which costs a single write. */
 export class FrameWriter {
   private pending: LinkItem[] = [];
   private bytes = 0;
 
   constructor(private readonly write: (items: LinkItem[]) => void) {}
 
-  /** Queues an item for the frame of this turn. */
+  /** Adds an item to the current frame. */
   send(item: Partial<LinkItem>): void {
     if (this.pending.length === 0) setImmediate(() => this.flush());
     this.pending.push({ ...EMPTY_ITEM, ...item });
@@ -43,28 +43,28 @@
   }
 }
 
-/** Parts that came and were not taken yet. */
+/** A queue with one consumer that waits for the next item. */
 export class AsyncQueue<T> {
   private readonly items: T[] = [];
   private failure: Error | undefined;
   private wake: (() => void) | undefined;
 
-  push(part: T): void {
-    this.items.push(part);
+  push(item: T): void {
+    this.items.push(item);
     this.wake?.();
   }
 
-  /** Nothing more comes; what came can still be taken. */
+  /** Ends the queue with an error; items that are already queued can still be read. */
   fail(error: Error): void {
     this.failure ??= error;
     this.wake?.();
   }
 
-  /** The next part; throws the failure once all that came before it is taken. */
+  /** Waits for the next item; throws the error of a failed queue once it is empty. */
   async next(): Promise<T> {
     for (;;) {
-      const part = this.items.shift();
-      if (part !== undefined) return part;
+      const item = this.items.shift();
+      if (item !== undefined) return item;
       if (this.failure) throw this.failure;
       await new Promise<void>(resolve => (this.wake = resolve));
       this.wake = undefined;
@@ -72,13 +72,13 @@
   }
 }
 
-/** How many more parts the other end is ready to hold. */
+/** Credit-based flow control: counts the parts that the receiver is ready to buffer. */
 export class SendWindow {
   private credits = WINDOW_PARTS;
   private closed = false;
   private wake: (() => void) | undefined;
 
-  /** Waits until a part may be sent, or the window was closed. */
+  /** Waits until a part may be sent or the window is closed. */
   async acquire(): Promise<void> {
     while (this.credits === 0 && !this.closed) {
       await new Promise<void>(resolve => (this.wake = resolve));
@@ -87,13 +87,13 @@
     this.credits = Math.max(0, this.credits - 1);
   }
 
-  /** The other end took some. */
+  /** Adds credits for parts that the receiver has consumed. */
   release(count: number): void {
     this.credits += count;
     this.wake?.();
   }
 
-  /** Lets senders through: nobody listens any more. */
+  /** Unblocks the sender, whose parts are discarded from now on. */
   close(): void {
     this.closed = true;
     this.wake?.();
--- a/packages/calls/src/linkServer.ts
+++ b/packages/calls/src/linkServer.ts
@@ -1,4 +1,4 @@
-/** The called end of a link. */
+/** The server side of a link. */
 import { CALLER_LEFT, Cancellation, type Clock } from '@cleatquay/clock';
 import {
   type AnswerPart,
@@ -15,28 +15,28 @@
 import { type CallHandler, isLast } from './callHandler.js';
 import { TransitDelays } from './frameDelays.js';
 import { HeadDecoder } from './headTemplates.js';
-import { FrameWriter, AsyncQueue, SendWindow } from './linkParts.js';
+import { AsyncQueue, FrameWriter, SendWindow } from './linkParts.js';
 import { FrameStream } from './linkStream.js';
 import { type WorkTurns } from './workTurns.js';
 
 interface ServedCall {
-  /** Parts of the request; undefined where the first was the whole. */
+  /** Undefined if the first part was the whole request. */
   readonly requestParts: AsyncQueue<RequestPart> | undefined;
-  /** Made for answers that are sent in parts. */
+  /** Defined only for responses that are sent in several parts. */
   window: SendWindow | undefined;
   readonly cancellation: Cancellation;
 }
 
-/** What a link server needs of its daemon. */
+/** Dependencies of a link server. */
 export interface LinkServerOptions {
   readonly clock: Clock;
   readonly handle: CallHandler;
   readonly scheduler: WorkTurns;
-  /** Answers what the peer's configuration lacks of this daemon's. */
+  /** Returns what the peer's configuration lacks of this daemon's. */
   readonly configuration: (request: ConfigurationRequest) => ConfigurationAnswer;
 }
 
-/** Serves the calls of one link, each in a task of its own, until the peer ends it. */
+/** Serves the calls of one link concurrently until the peer closes it. */
 export class LinkServer {
   private readonly calls = new Map<number, ServedCall>();
   private readonly headDecoder = new HeadDecoder();
@@ -56,12 +56,12 @@
     this.writer = new FrameWriter(items => this.stream.write({ items, sentAt: 0 }));
   }
 
-  /** Takes what was read off the connection before this served it. */
+  /** Handles bytes that were read from the connection before this server was attached to it. */
   receive(chunk: Buffer): void {
     this.stream.receive(chunk);
   }
 
-  /** Closes the link; its calls are given up. */
+  /** Closes the link and cancels its calls. */
   close(): void {
     this.stream.close();
     this.cancelCalls();
@@ -73,14 +73,14 @@
 
   private handleItem(item: LinkItem, delayMs: number): void {
     if (item.ping > 0) this.writer.send({ pong: item.ping });
-    const known = this.calls.get(item.call);
-    if (item.credit > 0) known?.window?.release(item.credit);
-    if (item.cancel && known) cancelCall(known);
+    const call = this.calls.get(item.call);
+    if (item.credit > 0) call?.window?.release(item.credit);
+    if (item.cancel && call) cancelCall(call);
     const { configurationRequest } = item;
     if (configurationRequest)
       this.writer.send({ call: item.call, configuration: this.options.configuration(configurationRequest) });
     if (!item.request) return;
-    if (known) known.requestParts?.push(item.request);
+    if (call) call.requestParts?.push(item.request);
     else if (item.request.head)
       this.startCall(item.call, item.request, deductTime(this.headDecoder.decode(item.request), delayMs));
   }
@@ -96,32 +96,38 @@
     void this.processCall(number, call, first, head).finally(() => this.calls.delete(number));
   }
 
-  /** One call. A handler that goes on after its caller left is let run to its end, so that it can keep the answer. */
+  /**
+   * Processes one call. If the caller disconnects, a handler that is still running may finish, so that it can store the
+   * response.
+   */
   private async processCall(
     number: number,
     call: ServedCall,
     first: RequestPart,
     head: RequestHead | undefined,
   ): Promise<void> {
-    const { requestParts: parts, cancellation: gone } = call;
+    const { requestParts, cancellation } = call;
     const send = (part: AnswerPart) => {
-      if (!gone.signal.aborted) this.writer.send({ call: number, answer: part });
+      if (!cancellation.signal.aborted) this.writer.send({ call: number, answer: part });
     };
-    if (!isUsableHead(head)) return send(endOf(refusalOf('innerMessageInvalid', 'No usable head.'), 0));
+    if (!isUsableHead(head))
+      return send(endOf(refusalOf('innerMessageInvalid', 'The request head is missing or invalid.'), 0));
     try {
-      const turn = this.options.scheduler.take();
-      const waitedMs = turn ? await turn : 0;
-      if (gone.signal.aborted) return;
-      const body = parts ? this.readBody(number, parts) : first.body;
-      const begun = deductTime(head, waitedMs);
-      if (isDeadlinePassed(begun))
-        return send(endOf(refusalOf('deadlineTooShort', 'It was held up on its way.'), 0));
-      const answer = await this.options.handle(begun, body, gone.signal);
-      send(answer.first);
-      if (!answer.rest) return;
+      const queued = this.options.scheduler.take();
+      const waitedMs = queued ? await queued : 0;
+      if (cancellation.signal.aborted) return;
+      const body = requestParts ? this.readBody(number, requestParts) : first.body;
+      const adjustedHead = deductTime(head, waitedMs);
+      if (isDeadlinePassed(adjustedHead))
+        return send(
+          endOf(refusalOf('deadlineTooShort', 'The deadline passed in transit or in the queue.'), 0),
+        );
+      const response = await this.options.handle(adjustedHead, body, cancellation.signal);
+      send(response.first);
+      if (!response.rest) return;
       const window = (call.window = new SendWindow());
-      if (gone.signal.aborted) window.close();
-      for await (const part of answer.rest) {
+      if (cancellation.signal.aborted) window.close();
+      for await (const part of response.rest) {
         if (!isLast(part)) await window.acquire();
         send(part);
       }
@@ -144,19 +150,19 @@
   }
 }
 
-/** The head of a call of whose time so much is gone, ms. */
-function deductTime<Head extends RequestHead | undefined>(head: Head, goneMs: number): Head {
-  if (!head?.context || goneMs < 1) return head;
+/** The head with the elapsed time subtracted from its remaining time. */
+function deductTime<Head extends RequestHead | undefined>(head: Head, elapsedMs: number): Head {
+  if (!head?.context || elapsedMs < 1) return head;
   const { context } = head;
-  return { ...head, context: { ...context, remainingMs: Math.floor(context.remainingMs - goneMs) } };
+  return { ...head, context: { ...context, remainingMs: Math.floor(context.remainingMs - elapsedMs) } };
 }
 
 function isDeadlinePassed({ context }: RequestHead): boolean {
   return context !== undefined && context.remainingMs <= 0;
 }
 
-function cancelCall({ requestParts: parts, window, cancellation: gone }: ServedCall): void {
-  gone.abort(CALLER_LEFT);
-  parts?.fail(new Error('The caller left before the end of its request.'));
+function cancelCall({ requestParts, window, cancellation }: ServedCall): void {
+  cancellation.abort(CALLER_LEFT);
+  requestParts?.fail(new Error('The caller disconnected before the end of its request.'));
   window?.close();
 }
--- a/packages/calls/src/linkStream.ts
+++ b/packages/calls/src/linkStream.ts
@@ -1,26 +1,26 @@
 /**
- * Frames of a link over TCP: each is its length in four bytes, big end first, then the message. They save an eighth of all
- * processor time of a call against a stream of gRPC (docs/design/call-cost.md).
+ * Length-prefixed frames over TCP: a length of four bytes, big-endian, followed by the encoded message. Compared with a
+ * gRPC stream, they save an eighth of the CPU time of a call (docs/design/call-cost.md).
  */
 import { LinkFrame } from '@cleatquay/protocol';
 import { type Socket } from 'node:net';
 
-/** Frames that are longer are damaged, or not from a peer; links gather at most half a MiB and one part. */
+/** A longer frame is corrupt or not from a peer: a link batches at most half a MiB and one part. */
 const MAX_FRAME_BYTES = 4 * 1_048_576;
 const LENGTH_BYTES = 4;
-/** Frames up to this size are copied behind their length, bytes: one buffer costs less to write than two. */
+/** Messages up to this size are copied into one buffer with their length: one write costs less than two. */
 const MAX_COPIED_FRAME_BYTES = 16_384;
-/** TCP itself looks after a connection on which nothing was said for so long, ms. */
+/** Idle time after which TCP probes a connection. */
 const TCP_KEEP_ALIVE_DELAY_MS = 5000;
 
-/** What is told of a stream. */
+/** Callbacks of a stream. */
 export interface FrameStreamEvents {
   readonly onFrame: (frame: LinkFrame) => void;
-  /** Told once, when nothing more comes. */
+  /** Called once, when no more frames will arrive. */
   readonly onEnd: (why: string) => void;
 }
 
-/** A connection between two daemons as frames, in both directions. */
+/** Reads and writes frames on a connection between two daemons. */
 export class FrameStream {
   private incomplete: Buffer | undefined;
   private ended = false;
@@ -33,11 +33,11 @@
     socket.setKeepAlive(true, TCP_KEEP_ALIVE_DELAY_MS);
     socket.on('data', (chunk: Buffer) => this.receive(chunk));
     socket.on('end', () => this.end('ended the link'));
-    socket.on('error', error => this.end(`broke the link: ${error.message}`));
+    socket.on('error', error => this.end(`failed with a connection error: ${error.message}`));
     socket.on('close', () => this.end('closed the link'));
   }
 
-  /** Sends a frame; nothing happens once the stream has ended. */
+  /** Sends a frame; does nothing once the stream has ended. */
   write(frame: LinkFrame): void {
     if (this.ended) return;
     const message = LinkFrame.encode(frame).finish();
@@ -62,13 +62,14 @@
     this.socket.destroy();
   }
 
-  /** Takes bytes that were read off the connection before it became this stream. */
+  /** Handles bytes of the connection, also those that were read before this stream was attached to it. */
   receive(chunk: Buffer): void {
     let rest = this.incomplete ? Buffer.concat([this.incomplete, chunk]) : chunk;
     this.incomplete = undefined;
     while (rest.length >= LENGTH_BYTES && !this.ended) {
       const length = rest.readUInt32BE(0);
-      if (length > MAX_FRAME_BYTES) return this.end(`sent a frame of ${String(length)} bytes`);
+      if (length > MAX_FRAME_BYTES)
+        return this.end(`sent a frame of ${String(length)} bytes, which is too long`);
       const end = LENGTH_BYTES + length;
       if (rest.length < end) break;
       this.decodeFrame(rest.subarray(LENGTH_BYTES, end));
@@ -82,7 +83,7 @@
     try {
       frame = LinkFrame.decode(message);
     } catch (error) {
-      return this.end(`sent what is no frame: ${String(error)}`);
+      return this.end(`sent a frame that cannot be decoded: ${String(error)}`);
     }
     this.events.onFrame(frame);
   }
--- a/packages/calls/src/peers.ts
+++ b/packages/calls/src/peers.ts
@@ -1,4 +1,4 @@
-/** The other daemons: a link to each for calls, and a gRPC client for what is rare, made when first needed. */
+/** Connections to other daemons, opened on first use: a link to each for calls, and a gRPC client for rare requests. */
 import { type CancelSignal, Cancellation, type Clock, NOT_NEEDED, type Timer } from '@cleatquay/clock';
 import {
   type ConfigurationAnswer,
@@ -16,28 +16,29 @@
 import { LostContact } from './lostContact.js';
 
 const GRPC_OPTIONS = {
-  // What is asked by gRPC is repeated by those who ask, or not at all.
+  // Callers retry gRPC requests themselves where that is safe.
   'grpc.enable_retries': 0,
   'grpc.client_idle_timeout_ms': 60_000,
   'grpc.initial_reconnect_backoff_ms': 100,
   'grpc.max_reconnect_backoff_ms': 2000,
   'grpc.max_receive_message_length': 4 * 1_048_576,
 };
-/** Ten round trips between the farthest failure domains; a connection that takes longer isn't waited for. */
+/** Ten round trips between the farthest failure domains; a connection attempt that takes longer is abandoned. */
 const CONNECT_TIMEOUT_MS = 400;
 const CONFIGURATION_TIMEOUT_MS = 2000;
 const NO_CONNECTION = 'No connection established';
 
-/** Pause between looks whether a peer that was lost is back, ms. */
+/** Interval of attempts to reconnect to an unreachable peer. */
 const RECONNECT_INTERVAL_MS = 200;
-/** A failure domain is taken for silent when so many of its peers are, and none was heard meanwhile. */
+/** A failure domain counts as partitioned from this many peers that are unresponsive or unreachable, if no other was active recently. */
 const MIN_UNREACHABLE_PEERS = 2;
+/** A peer that sent something within this time shows that its failure domain is not partitioned. */
 const DOMAIN_ACTIVITY_MS = 300;
 
-/** Whether a peer can be expected to answer. */
+/** Whether a peer can be expected to respond: it does, it has stopped responding, or its connection was lost. */
 export type Contact = 'good' | 'silent' | 'lost';
 
-/** Clients of peers. */
+/** Links and gRPC clients by the addresses of peers. */
 export class Peers implements Disposable {
   private isClosed = false;
   private livenessTimer: Timer | undefined;
@@ -48,11 +49,11 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Whether a peer is cut off; a hook for tests. */
+    /** Whether fault injection drops the traffic to a peer; a hook for tests. */
     private readonly isCut: (address: string) => boolean,
   ) {}
 
-  /** One call to a peer. Fails with LostContact when it ends without its last part. */
+  /** Makes one call to a peer. Rejects with ConnectionLoss if the call ends before its last part. */
   async exchange(
     address: string,
     head: RequestHead,
@@ -62,66 +63,66 @@
     if (this.isCut(address)) throw new LostContact(`${address} is cut off.`, true);
     const link = this.links.get(address) ?? (await this.connectOrReconnectLater(address));
     this.scheduleLivenessCheck();
-    const answer = await link.exchange(head, body, signal);
-    if (this.isCut(address)) throw new LostContact(`${address} was cut off.`, false);
-    return answer;
+    const response = await link.exchange(head, body, signal);
+    if (this.isCut(address)) throw new LostContact(`${address} was partitioned during the call.`, false);
+    return response;
   }
 
-  /** Whether a peer can be expected to answer. */
+  /** Whether a peer can be expected to respond. */
   contact(address: string): Contact {
     if (this.reconnections.has(address)) return 'lost';
     return this.links.get(address)?.isUnresponsive === true ? 'silent' : 'good';
   }
 
-  /** Whether some of these peers owe answers, and none of them has been heard for a while: their domain is cut off. */
+  /** Whether the failure domain of these peers looks partitioned: several of them do not respond, and no other was active recently. */
   areCutOff(addresses: readonly string[]): boolean {
-    const heardSince = this.clock.now() - DOMAIN_ACTIVITY_MS;
-    let mute = 0;
+    const activeSince = this.clock.now() - DOMAIN_ACTIVITY_MS;
+    let unreachablePeers = 0;
     for (const address of addresses) {
-      const isMute = this.contact(address) !== 'good';
-      if (isMute) mute++;
-      else if ((this.links.get(address)?.lastActivityAt ?? 0) > heardSince) return false;
+      const isUnreachable = this.contact(address) !== 'good';
+      if (isUnreachable) unreachablePeers++;
+      else if ((this.links.get(address)?.lastActivityAt ?? 0) > activeSince) return false;
     }
-    return mute >= MIN_UNREACHABLE_PEERS;
+    return unreachablePeers >= MIN_UNREACHABLE_PEERS;
   }
 
-  /** Asks a peer to seal a try. */
+  /** Asks a peer to seal an attempt, which bars it from dispatch. */
   async seal(address: string, request: SealRequest, timeoutMs: number): Promise<SealAnswer> {
     if (this.isCut(address)) throw new LostContact(`${address} is cut off.`, true);
     return new Promise((resolve, reject) => {
       const deadline = Date.now() + timeoutMs;
-      this.client(address).seal(request, new Metadata(), { deadline }, (error, answer) => {
-        if (error) reject(asLostContact(error, address));
-        else resolve(answer);
+      this.client(address).seal(request, new Metadata(), { deadline }, (error, response) => {
+        if (error) reject(toConnectionLoss(error, address));
+        else resolve(response);
       });
     });
   }
 
-  /** Asks a peer for what this daemon's configuration lacks. */
-  async fetchConfiguration(address: string, question: ConfigurationRequest): Promise<ConfigurationAnswer> {
+  /** Fetches from a peer what this daemon's configuration lacks. */
+  async fetchConfiguration(address: string, request: ConfigurationRequest): Promise<ConfigurationAnswer> {
     if (this.isCut(address)) throw new LostContact(`${address} is cut off.`, true);
     const link = this.links.get(address) ?? (await this.connectOrReconnectLater(address));
     this.scheduleLivenessCheck();
-    const late = new Cancellation();
-    const inTime = this.clock.sleep(CONFIGURATION_TIMEOUT_MS, late.signal).then(() => {
-      throw new LostContact(`${address} did not give its configuration in time.`, false);
+    const cancellation = new Cancellation();
+    const timeout = this.clock.sleep(CONFIGURATION_TIMEOUT_MS, cancellation.signal).then(() => {
+      throw new LostContact(`${address} did not send its configuration in time.`, false);
     });
-    inTime.catch(() => undefined);
+    timeout.catch(() => undefined);
     try {
-      return await Promise.race([link.fetchConfiguration(question), inTime]);
+      return await Promise.race([link.fetchConfiguration(request), timeout]);
     } finally {
-      late.abort(NOT_NEEDED);
+      cancellation.abort(NOT_NEEDED);
     }
   }
 
-  /** Closes the client of a peer that is gone for good. */
+  /** Closes the connections to a peer that was removed permanently. */
   forget(address: string): void {
     this.reconnections.get(address)?.abort(NOT_NEEDED);
-    this.links.get(address)?.fail('is gone');
+    this.links.get(address)?.fail('was removed from the fleet');
     this.closeClient(address);
   }
 
-  /** Addresses with a client. */
+  /** Addresses of peers with a gRPC client. */
   get addresses(): string[] {
     return [...this.clients.keys()];
   }
@@ -129,12 +130,12 @@
   [Symbol.dispose](): void {
     this.isClosed = true;
     this.livenessTimer?.[Symbol.dispose]();
-    for (const watch of this.reconnections.values()) watch.abort(NOT_NEEDED);
-    for (const link of [...this.links.values()]) link.fail('is not needed any more');
+    for (const reconnection of this.reconnections.values()) reconnection.abort(NOT_NEEDED);
+    for (const link of [...this.links.values()]) link.fail('is no longer needed');
     for (const address of this.addresses) this.closeClient(address);
   }
 
-  /** One timer for all links: with one each, a daemon would wake up hundreds of times a second. */
+  /** A single timer serves all links: with a timer for each, a daemon would wake up hundreds of times a second. */
   private checkLinks(): void {
     this.livenessTimer = undefined;
     for (const link of [...this.links.values()]) link.checkLiveness();
@@ -156,12 +157,12 @@
     }
   }
 
-  /** Looks in the background whether a lost peer is back, so that no call has to find out. */
+  /** Reconnects to an unreachable peer in the background, so that no call is spent on probing it. */
   private startReconnecting(address: string): void {
     if (this.reconnections.has(address) || this.isClosed) return;
-    const watch = new Cancellation();
-    this.reconnections.set(address, watch);
-    void this.reconnect(address, watch.signal).finally(() => this.reconnections.delete(address));
+    const cancellation = new Cancellation();
+    this.reconnections.set(address, cancellation);
+    void this.reconnect(address, cancellation.signal).finally(() => this.reconnections.delete(address));
   }
 
   private async reconnect(address: string, signal: CancelSignal): Promise<void> {
@@ -178,7 +179,7 @@
     this.clients.delete(address);
   }
 
-  /** The link to a peer; calls that come while it is being made share it. */
+  /** The link to a peer; concurrent calls share one connection attempt. */
   private connect(address: string): Promise<LinkClient> {
     const known = this.links.get(address);
     if (known) return Promise.resolve(known);
@@ -190,15 +191,15 @@
     return connecting;
   }
 
-  /** Makes a link and waits for the peer's first word, but not long. Nothing was sent when this fails. */
+  /** Opens a link and waits up to `CONNECT_TIMEOUT_MS` for the peer's first response. If this fails, no request was sent. */
   private async open(address: string): Promise<LinkClient> {
     const { ip, port } = splitAddress(address);
     const socket = connect({ host: ip, port });
     const link = new LinkClient(this.clock, address, socket, () => this.onLinkEnd(address, link));
-    const timer = this.clock.after(CONNECT_TIMEOUT_MS, () => link.fail('does not answer'));
+    const timer = this.clock.after(CONNECT_TIMEOUT_MS, () => link.fail('did not respond in time'));
     try {
       await link.waitUntilOpen();
-      if (this.isClosed) link.fail('is not needed any more');
+      if (this.isClosed) link.fail('is no longer needed');
       else this.links.set(address, link);
       return link;
     } finally {
@@ -206,7 +207,7 @@
     }
   }
 
-  /** When a link ends, so does gRPC's connection, over which nothing may come through any more. */
+  /** Closes the gRPC client, too, since its connection is likely to have failed with the link. */
   private onLinkEnd(address: string, link: LinkClient): void {
     if (this.links.get(address) !== link) return;
     this.links.delete(address);
@@ -224,7 +225,7 @@
   }
 }
 
-function asLostContact(error: unknown, address: string): unknown {
+function toConnectionLoss(error: unknown, address: string): unknown {
   if (error instanceof LostContact || !(error instanceof Error) || !('code' in error)) return error;
   const { code, details } = error as ServiceError;
   const neverSent = code === status.UNAVAILABLE && (details ?? '').startsWith(NO_CONNECTION);
--- a/packages/calls/src/replayBody.ts
+++ b/packages/calls/src/replayBody.ts
@@ -1,9 +1,9 @@
-/** A request body that can be sent again as long as it is small. */
+/** A request body that can be sent several times if it is small. */
 import { type CallBody } from './callHandler.js';
 
 const MAX_REPLAYABLE_BYTES = 65_536;
 
-/** Reads its source once, and keeps the beginning. */
+/** Reads its source once and buffers the beginning. */
 export class ReplayBody {
   private readonly buffered: Uint8Array[] = [];
   private bufferedBytes = 0;
@@ -17,22 +17,22 @@
     else this.source = source[Symbol.asyncIterator]();
   }
 
-  /** Whether all of it can be sent once more. */
+  /** Whether the complete body can be sent again. */
   get isReplayable(): boolean {
     return !this.streaming;
   }
 
-  /** The whole body, if it has come; most are empty and need no waiting. */
+  /** The complete body if it was received already, as most are, since they are empty. */
   get atHand(): Buffer | undefined {
     return this.whole;
   }
 
-  /** What was read of it so far, at most what is kept: of a body that is sent as a stream, its beginning. */
+  /** The complete body, or the buffered beginning of one that is streamed. */
   get beginning(): Buffer {
     return this.whole ?? Buffer.concat(this.buffered);
   }
 
-  /** Reads the beginning, as far as it is kept. */
+  /** Buffers the body up to the limit. */
   async prepare(): Promise<void> {
     if (!this.source || this.whole) return;
     while (!this.ended && this.bufferedBytes < MAX_REPLAYABLE_BYTES) {
@@ -43,14 +43,15 @@
     if (this.ended) this.whole = Buffer.concat(this.buffered);
   }
 
-  /** The whole body, from its beginning. */
+  /** The complete body, from its beginning. */
   async read(): Promise<CallBody> {
     await this.prepare();
     return this.whole ?? this.stream();
   }
 
   private async *stream(): AsyncIterable<Uint8Array> {
-    if (this.streaming || !this.source) throw new Error('The body was sent already.');
+    if (this.streaming || !this.source)
+      throw new Error('The body has already been streamed and cannot be read again.');
     this.streaming = true;
     yield* this.buffered;
     for (let next = await this.source.next(); next.done !== true; next = await this.source.next())
--- a/packages/calls/src/requestId.ts
+++ b/packages/calls/src/requestId.ts
@@ -1,4 +1,4 @@
-/** Request ids, which name the daemon that issued them: their home. */
+/** Request ids, which contain the address of the daemon that issued them, the home daemon. */
 import { type Clock } from '@cleatquay/clock';
 
 const SEPARATOR = '~';
@@ -7,15 +7,15 @@
 
 /** The parts of a request id. */
 export interface RequestId {
-  /** ip:port of the inner protocol of the daemon that issued it. */
+  /** ip:port of the peer protocol of the daemon that issued it. */
   readonly home: string;
   /** The epoch of that process. */
   readonly epoch: number;
-  /** When that process forgets it, in ms on its own monotonic clock. */
+  /** When that process discards the state of the request, in ms on its own monotonic clock. */
   readonly expiresAt: number;
 }
 
-/** Reads an id; undefined for a text that is none. */
+/** Parses a request id; undefined if the text is not one. */
 export function parseRequestId(text: string): RequestId | undefined {
   const [, home, epoch, , expiry] = PATTERN.exec(text) ?? [];
   if (home === undefined || epoch === undefined || expiry === undefined) return undefined;
@@ -32,7 +32,7 @@
     private readonly epoch: () => number,
   ) {}
 
-  /** A fresh id that is remembered for `lifetimeMs`. */
+  /** Issues a new id that expires after `lifetimeMs`. */
   issue(lifetimeMs: number): string {
     const expiresAt = Math.ceil(this.clock.now() + lifetimeMs);
     const numbers = [this.epoch(), ++this.sequence, expiresAt].map(n => n.toString(RADIX));
--- a/packages/calls/src/upstreamConnections.ts
+++ b/packages/calls/src/upstreamConnections.ts
@@ -1,4 +1,4 @@
-/** HTTP connections to the upstream beside this daemon, and one request over them. */
+/** HTTP connections to the local upstream, and requests over them. */
 import { type CancelSignal, type Clock } from '@cleatquay/clock';
 import { type IncomingHttpHeaders } from 'node:http';
 import { type Socket } from 'node:net';
@@ -8,54 +8,53 @@
 import { type CallBody } from './callHandler.js';
 import { AsyncQueue } from './linkParts.js';
 
-/** An upstream on the same VM that takes longer to let a connection in is out, ms. */
+/** An upstream on the same VM that takes longer to accept a connection is considered down. */
 const CONNECT_TIMEOUT_MS = 500;
-/** Answer bytes held for a slow reader before the upstream is made to wait. */
+/** Response bytes buffered for a slow reader before reading from the upstream pauses. */
 const MAX_BUFFERED_BYTES = 128 * 1024;
 /**
- * After an answer to another request, or a broken connection, requests that may run only once get connections of their
- * own for this long, ms: a lost confirmation is worth some hundred new connections.
+ * For this long after a mismatched response or a failed connection, non-idempotent requests use a new connection each:
+ * losing the response of one would cost more than some hundred new connections.
  */
 const NO_REUSE_MS = 30_000;
 const BODYLESS_STATUSES = [204, 304];
 
-/** What is asked of an upstream. */
+/** A request to an upstream. */
 export interface UpstreamRequest {
   readonly method: string;
   readonly path: string;
-  /** Names and values by turns. */
+  /** Alternating names and values. */
   readonly headers: string[];
-  /** Undefined for none. */
   readonly body: CallBody | undefined;
   readonly idempotent: boolean;
-  /** Says whether the headers are those of an answer to this request; if not, its connection is closed. */
+  /** Whether a response with these headers belongs to this request; if not, its connection is closed. */
   readonly isOwnAnswer: (status: number, headers: IncomingHttpHeaders) => boolean;
-  /** Told of such an answer as soon as its headers are there, however long its body is. */
+  /** Called with the headers of such a response as soon as they arrive, before the body. */
   readonly onOwnAnswer: (status: number, headers: IncomingHttpHeaders) => void;
 }
 
-/** An answer, or its beginning; the rest breaks with an error if the upstream's answer does. */
+/** A response, or its beginning. Reading the rest throws if the upstream's response is truncated. */
 export interface UpstreamAnswer {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
-  /** The whole body of a small answer, the first 64 KiB or so of a larger one. */
+  /** The complete body of a small response, about the first 64 KiB of a larger one. */
   readonly start: Buffer;
-  /** What follows; undefined if `start` is the whole. */
+  /** The remaining body; undefined if `start` is complete. */
   readonly rest: AsyncIterable<Buffer> | undefined;
-  /** Only the end of the connection ended the answer. */
+  /** The response is close-delimited: only the end of its connection marks its end (RFC 9112, section 6.3). */
   readonly isUnframed: boolean;
 }
 
-/** The answer on the connection belongs to another request. The own request may have run. */
+/** The response on the connection belongs to another request. The upstream may have run this one nevertheless. */
 export class MisplacedAnswer extends Error {}
 
-/** Pools of connections to one upstream. */
+/** Connection pools of one upstream: one that reuses connections, and one that opens a new connection for each request. */
 export class UpstreamConnections implements AsyncDisposable {
   private readonly keepAlivePool: Pool;
   private readonly singleUsePool: Pool;
-  private hasDelimitedAnswers = false;
+  private hasDelimitedResponses = false;
   private noReuseUntil = Number.NEGATIVE_INFINITY;
-  /** Connections that ended with an error. */
+  /** Number of connections that have failed so far. */
   private connectionErrors = 0;
 
   constructor(
@@ -68,14 +67,14 @@
     this.singleUsePool = new Pool(`http://${address}`, { ...options, pipelining: 0 });
   }
 
-  /** Sends a request and resolves with its answer once that is whole, or long. */
+  /** Sends a request; resolves when the response is complete, or has become too large for a single part. */
   ask(request: UpstreamRequest, signal: CancelSignal): Promise<UpstreamAnswer> {
-    const isDistrusted = this.clock.now() < this.noReuseUntil;
-    const pool = !request.idempotent && isDistrusted ? this.singleUsePool : this.keepAlivePool;
+    const isReuseUnsafe = this.clock.now() < this.noReuseUntil;
+    const pool = !request.idempotent && isReuseUnsafe ? this.singleUsePool : this.keepAlivePool;
     return new Promise((resolve, reject) => {
-      const settle = (answer: UpstreamAnswer) => {
-        this.hasDelimitedAnswers ||= !answer.isUnframed;
-        resolve(answer);
+      const settle = (response: UpstreamAnswer) => {
+        this.hasDelimitedResponses ||= !response.isUnframed;
+        resolve(response);
       };
       const exchange = new Exchange(
         request,
@@ -96,12 +95,12 @@
     });
   }
 
-  /** Whether the upstream usually says where its answers end. */
+  /** Whether the upstream has sent a response that is not close-delimited; a later close-delimited one is probably truncated. */
   get framesAnswers(): boolean {
-    return this.hasDelimitedAnswers;
+    return this.hasDelimitedResponses;
   }
 
-  /** Something came over a kept connection that should not have. */
+  /** Called when a reused connection was in a wrong state: stops reuse for non-idempotent requests for a while. */
   distrust(): void {
     this.noReuseUntil = this.clock.now() + NO_REUSE_MS;
   }
@@ -122,7 +121,7 @@
   }
 }
 
-/** One request and its answer, as undici tells of them. */
+/** One request and its response, as a handler of undici's events. */
 class Exchange implements Dispatcher.DispatchHandler {
   private status = 0;
   private headers: IncomingHttpHeaders = {};
@@ -137,7 +136,7 @@
   constructor(
     private readonly request: UpstreamRequest,
     private readonly signal: CancelSignal,
-    private readonly settle: { resolve: (answer: UpstreamAnswer) => void; reject: (error: unknown) => void },
+    private readonly settle: { resolve: (value: UpstreamAnswer) => void; reject: (error: unknown) => void },
     private readonly connectionErrors: () => number,
   ) {
     signal.addEventListener('abort', this.onAbort, { once: true });
@@ -155,7 +154,7 @@
   ): void {
     if (status < 200) return;
     if (!this.request.isOwnAnswer(status, headers)) {
-      controller.abort(new MisplacedAnswer('What came on the connection is no answer to the request.'));
+      controller.abort(new MisplacedAnswer('The response on the connection belongs to another request.'));
       return;
     }
     this.request.onOwnAnswer(status, headers);
@@ -177,15 +176,15 @@
   }
 
   /**
-   * The end of an answer. Where only the end of its connection shows that it is whole, undici takes a reset connection
-   * for an end, too. Any reset of a connection to this upstream meanwhile makes such an answer suspect.
+   * undici also reports a reset connection as the end of a close-delimited response. Such a response is therefore treated
+   * as truncated if any connection to this upstream failed while it was received.
    */
   onResponseEnd(): void {
     this.signal.removeEventListener('abort', this.onAbort);
-    const isSuspect = this.errorsAtHead !== undefined && this.errorsAtHead !== this.connectionErrors();
-    if (isSuspect) this.fail(new Error('A connection was reset before the end of the answer.'));
+    const mayBeTruncated = this.errorsAtHead !== undefined && this.errorsAtHead !== this.connectionErrors();
+    if (mayBeTruncated) this.fail(new Error('A connection was reset before the end of the response.'));
     else if (this.restQueue) this.restQueue.push('end');
-    else this.settle.resolve(this.answer());
+    else this.settle.resolve(this.createResponse());
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
@@ -206,10 +205,10 @@
 
   private startStreaming(): void {
     this.restQueue = new AsyncQueue();
-    this.settle.resolve(this.answer(this.readRest(this.restQueue)));
+    this.settle.resolve(this.createResponse(this.readRest(this.restQueue)));
   }
 
-  private answer(rest?: AsyncIterable<Buffer>): UpstreamAnswer {
+  private createResponse(rest?: AsyncIterable<Buffer>): UpstreamAnswer {
     const start =
       this.startChunks.length === 1 && this.startChunks[0]
         ? this.startChunks[0]
--- a/packages/calls/src/upstreamDialect.ts
+++ b/packages/calls/src/upstreamDialect.ts
@@ -1,31 +1,33 @@
-/** How requests and answers between a daemon and its upstream are marked: what differs between installations. */
+/** The header names and status codes that a daemon and its upstream use, which differ between platforms. */
 import { type CallContext } from '@cleatquay/protocol';
 import { type IncomingHttpHeaders } from 'node:http';
 import { type AnswerNotice, answerNotice } from './answerNotice.js';
 import { OWN_HEADERS, headerNames } from './headers.js';
 
-/** What an answer of an upstream says of the request: `other-instance` did not run it either. */
+/**
+ * What a response of an upstream means for the request: it ran, it was not run, or another instance now responds at the
+ * address, which has not run it either.
+ */
 export type AnswerMeaning = 'answer' | 'not-run' | 'other-instance';
 
-/** The marks on requests and answers. */
 export interface UpstreamDialect {
-  /** Headers that the daemon sets on a request, beside those of the caller: names and values by turns. */
+  /** Headers that the daemon adds to those of the caller, as alternating names and values. */
   readonly requestHeaders: (context: CallContext, instanceId: string) => string[];
-  /** Names, in lower case, of answer headers that are not passed on. */
+  /** Response headers that are not forwarded; lower case. */
   readonly dropped: ReadonlySet<string>;
-  /** Whether an answer with these headers is one to the request. */
+  /** Whether a response with these headers belongs to the request. */
   readonly isOwnAnswer: (status: number, headers: IncomingHttpHeaders, context: CallContext) => boolean;
-  /** The instance that an answer to a health check names; undefined if it names none. */
+  /** The instance id in a response to a health check; undefined if there is none. */
   readonly instanceOf: (headers: IncomingHttpHeaders) => string | undefined;
-  /** Whether the upstream ran the request or says that it didn't. */
+  /** Whether the upstream ran the request or reports that it did not. */
   readonly meaningOf: (status: number, headers: IncomingHttpHeaders) => AnswerMeaning;
-  /** What an answer says of the upstream itself. */
+  /** What a response reports of the upstream itself. */
   readonly noticeOf: (headers: IncomingHttpHeaders) => AnswerNotice;
 }
 
 const SHED_STATUSES = [429, 503];
 
-/** The project's own marks. */
+/** The dialect of cleatquay's own headers. */
 export const ownDialect: UpstreamDialect = {
   requestHeaders: ({ requestId, remainingMs, organisation }) => [
     headerNames.requestId,
--- a/packages/calls/src/workTurns.ts
+++ b/packages/calls/src/workTurns.ts
@@ -1,28 +1,29 @@
 /**
- * Shares the turns of the event loop between reading what has come and beginning requests.
+ * Divides each iteration of the event loop between reading from connections and starting requests.
  *
- * A turn reads one piece from each connection. If it also began every request that it reads, a turn with hundreds of them would take half a
- * second, and only the next one would read that some callers have left meanwhile: upstreams would then work for nobody. So a turn begins
- * requests for a bounded time. The others wait here, not in the buffers of connections, until one more turn has read what came after them:
- * whoever left by then is not served, and what they waited for is known.
+ * An iteration reads one chunk from each connection. If it also started every request that it reads, an iteration with hundreds of them would
+ * take half a second, and only the next one would detect that some callers have disconnected meanwhile: upstreams would do work whose result
+ * nobody receives. So an iteration starts requests for a bounded time only. The others are queued here rather than in the buffers of connections,
+ * until one more iteration has read what arrived after them: by then, requests of disconnected callers are known and need not run, and the
+ * queueing delay of the others can be measured.
  */
 import { type Clock } from '@cleatquay/clock';
 
 /**
- * Time of a turn for beginning requests, ms. Some ten requests on a busy VM, so that a turn stays far
- * below the 0.5 s after which work for a caller that left is in vain.
+ * Time per iteration for starting requests: enough for some ten of them on a busy VM, and far below the 0.5 s after which
+ * work for a disconnected caller counts as wasted.
  */
 const START_SLICE_MS = 20;
 
 interface Waiter {
   readonly since: number;
-  /** The turn in which its request was read. */
+  /** The iteration that read its request. */
   readonly iteration: number;
-  /** Told how long it has waited, ms. */
+  /** Called with the time that the request was queued, ms. */
   readonly resume: (waitedMs: number) => void;
 }
 
-/** The turns of one process. */
+/** Decides when a process starts the requests that it has read, in the order in which it read them. */
 export class WorkTurns {
   private readonly waiting: Waiter[] = [];
   private iteration = 0;
@@ -31,20 +32,23 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Whether this process is behind with reading: then what it reads now may have waited for long. */
+    /** Whether the event loop lags: then what it reads now may have been in the socket's buffer for long. */
     private readonly isLagging: () => boolean,
   ) {}
 
-  /** Asks for time to begin a request that was just read: undefined if there is some now; else resolves with the wait, ms, when there is. */
+  /**
+   * Requests time to start a request that was just read. Returns undefined if it can start at once; otherwise resolves
+   * when it can, with the time that it was queued, ms.
+   */
   take(): Promise<number> | undefined {
     const now = this.clock.now();
     this.openIteration(now);
-    const mayBegin = this.waiting.length === 0 && now < this.sliceEnd && !this.isLagging();
-    if (mayBegin) return undefined;
+    const canStart = this.waiting.length === 0 && now < this.sliceEnd && !this.isLagging();
+    if (canStart) return undefined;
     return new Promise(resume => this.waiting.push({ since: now, iteration: this.iteration, resume }));
   }
 
-  /** How long the first in line has waited, ms. */
+  /** How long the first request of the queue has waited, ms. */
   waitMs(): number {
     const [first] = this.waiting;
     return first ? this.clock.now() - first.since : 0;
@@ -57,15 +61,15 @@
     setImmediate(() => void this.closeIteration());
   }
 
-  /** Called when a turn has read everything: begins those that were read before this turn, as far as the time goes. */
+  /** Called when an iteration has read everything: starts requests that earlier iterations read, within the time slice. */
   private async closeIteration(): Promise<void> {
-    const lastTurn = this.iteration++;
+    const lastIteration = this.iteration++;
     this.isIterationOpen = false;
     if (this.waiting.length === 0) return;
     this.openIteration(this.clock.now());
     for (let now = this.clock.now(); now < this.sliceEnd; now = this.clock.now()) {
       const [first] = this.waiting;
-      if (!first || first.iteration >= lastTurn) return;
+      if (!first || first.iteration >= lastIteration) return;
       this.waiting.shift();
       first.resume(now - first.since);
       await REQUEST_STARTED;
@@ -73,5 +77,5 @@
   }
 }
 
-/** What waits for this goes on after the request that was resumed has begun. */
+/** Awaited after a request was resumed: its continuation, a microtask that was queued before, has then run. */
 const REQUEST_STARTED = Promise.resolve();
--- a/tests/answerNotice.spec.ts
+++ b/tests/answerNotice.spec.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { type Answer, PlatformFleet, routeTo, until } from './fixtures/platformFleet.js';
 
-describe('what an upstream says of itself in its answers', () => {
+describe('the notice in the headers of a response', () => {
   describe('the rate limit', () => {
     for (const [text, rate] of [
       ['18.9', 18.9],
@@ -11,38 +11,38 @@
       ['11', 11],
       [' 7.50 ', 7.5],
     ] as const)
-      it(`"${text}" is ${String(rate)} requests a second`, () =>
+      it(`parses "${text}" as ${String(rate)} requests per second`, () =>
         expect(answerNotice(text, undefined).rateLimit).to.equal(rate));
 
     for (const text of ['', '-3', 'many', 'NaN', 'Infinity', '1e308', '0x10', '1_000', '9'.repeat(400)])
-      it(`"${text.slice(0, 10)}" is unclear`, () =>
+      it(`is unclear for "${text.slice(0, 10)}"`, () =>
         expect(answerNotice(text, undefined).rateLimit).to.equal('unclear'));
 
-    it('is the lowest of several, however they were sent', () => {
+    it('is the lowest of several, sent as a list or as repeated headers', () => {
       expect(answerNotice(['40', '12'], undefined).rateLimit).to.equal(12);
       expect(answerNotice('40, 12', undefined).rateLimit).to.equal(12);
       expect(answerNotice(['40', 'many'], undefined).rateLimit).to.equal(40);
     });
 
-    it('is a number that can be counted with, or none, whatever is sent', () => {
+    it('is a finite number or not a number, for any header value', () => {
       fc.assert(
-        fc.property(fc.oneof(fc.string(), fc.array(fc.string()), fc.double().map(String)), sent => {
-          const { rateLimit } = answerNotice(sent, undefined);
+        fc.property(fc.oneof(fc.string(), fc.array(fc.string()), fc.double().map(String)), header => {
+          const { rateLimit } = answerNotice(header, undefined);
           if (typeof rateLimit === 'number') expect(rateLimit).to.be.within(0, Number.MAX_VALUE);
         }),
       );
     });
   });
 
-  describe('that it leaves', () => {
-    it('is said by "1" only', () => {
+  describe('that the upstream is shutting down', () => {
+    it('is recognised from the value "1" only', () => {
       expect(answerNotice(undefined, '1').isLeaving).to.equal(true);
       for (const other of [undefined, '0', '', 'true', '11'])
         expect(answerNotice(undefined, other).isLeaving).to.equal(false);
     });
   });
 
-  describe('for operators', () => {
+  describe('in logs and metrics', () => {
     let fleet: PlatformFleet;
 
     beforeEach(async () => {
@@ -58,7 +58,7 @@
       return (await fetch(`http://${operatorAddress}/metrics`)).text();
     };
 
-    it('is logged when it changes, and counted', async () => {
+    it('is logged when it changes, and exported', async () => {
       const { behaviour } = fleet.nodes[0]!.upstream;
       await ask();
       expect(await metrics()).to.match(/^cleatquay_upstream_rate_limit -1$/m);
@@ -73,7 +73,7 @@
       await until(async () => (await ask()) && lines('names no rate limit any more') === 1);
     });
 
-    it('costs one line a second, however often it changes', async () => {
+    it('is logged at most once a second, however often it changes', async () => {
       const { behaviour } = fleet.nodes[0]!.upstream;
       for (let i = 1; i <= 20; i++) {
         behaviour.rateLimit = String(1000 + i);
--- a/tests/frameDelays.spec.ts
+++ b/tests/frameDelays.spec.ts
@@ -1,6 +1,6 @@
 /**
- * A daemon that had run for 50 days would have ended at its first frame to a peer after that: the milliseconds of its steady clock no longer
- * fitted into the field that tells when a frame was sent, and the codec refused it ("invalid uint32: 4294967301").
+ * Guards against the overflow of `sentAt` after 50 days of uptime: the milliseconds of the monotonic clock no longer fit into 32 bits, the codec
+ * throws ("invalid uint32: 4294967301"), and the daemon exits at its next frame to a peer.
  */
 import { TransitDelays, toSentAt } from '@cleatquay/calls';
 import { ManualClock } from '@cleatquay/clock';
@@ -9,30 +9,30 @@
 import fc from 'fast-check';
 
 const FIFTY_DAYS_MS = 50 * 24 * 3_600_000;
-const TURN_MS = 2 ** 32;
+const WRAPAROUND_MS = 2 ** 32;
 const RUNS = 500;
-/** Frames tell whole milliseconds. */
+/** Frames carry whole milliseconds. */
 const ROUNDING_MS = 1;
 
-describe('frames of a link', () => {
-  it('tell when they were sent also after 50 days', () => {
+describe('the transit delay of frames', () => {
+  it('is based on a time of sending that can be encoded after 50 days of uptime', () => {
     const sentAt = toSentAt(FIFTY_DAYS_MS);
     expect(LinkFrame.decode(LinkFrame.encode({ items: [], sentAt }).finish()).sentAt).to.equal(sentAt);
   });
 
-  it('are as late as they were held up, wherever the clocks of both ends stand', () => {
-    const offset = fc.integer({ min: 0, max: 3 * TURN_MS });
-    const held = fc.array(fc.nat(5000), { minLength: 1, maxLength: 20 });
+  it('is measured correctly for any clock offset between the two sides', () => {
+    const offset = fc.integer({ min: 0, max: 3 * WRAPAROUND_MS });
+    const delayLists = fc.array(fc.nat(5000), { minLength: 1, maxLength: 20 });
     fc.assert(
-      fc.property(offset, offset, held, (sender, receiver, delays) => {
+      fc.property(offset, offset, delayLists, (sender, receiver, delays) => {
         const clock = new ManualClock();
         clock.advance(receiver);
-        const frames = new TransitDelays(clock);
-        frames.measure(toSentAt(sender));
+        const transitDelays = new TransitDelays(clock);
+        transitDelays.measure(toSentAt(sender));
         for (const [i, delayMs] of delays.entries()) {
           clock.advance(10_000);
           const sentAt = toSentAt(sender + (i + 1) * 10_000 - delayMs);
-          expect(frames.measure(sentAt)).to.be.closeTo(delayMs, ROUNDING_MS + 10 * (i + 1));
+          expect(transitDelays.measure(sentAt)).to.be.closeTo(delayMs, ROUNDING_MS + 10 * (i + 1));
         }
       }),
       { numRuns: RUNS },
--- a/tests/headTemplates.spec.ts
+++ b/tests/headTemplates.spec.ts
@@ -29,13 +29,13 @@
   },
 };
 
-/** Bytes of a frame with one request of such a head. */
-function bytesOf(travelling: EncodedHead): number {
-  const request = { ...travelling, body: Buffer.alloc(0), last: true };
+/** Size of a frame with one request that has this head. */
+function frameBytes(encodedHead: EncodedHead): number {
+  const request = { ...encodedHead, body: Buffer.alloc(0), last: true };
   return LinkFrame.encode({ items: [{ ...EMPTY_ITEM, call: 1, request }], sentAt: 0 }).finish().length;
 }
 
-describe('heads on a link', () => {
+describe('header compression on a link', () => {
   const text = fc.constantFrom('', 'a', 'b', 'history');
   const heads = fc.array(
     fc.record({
@@ -62,35 +62,35 @@
     { maxLength: 40 },
   ) as fc.Arbitrary<RequestHead[]>;
 
-  it('arrive as they were sent, whatever they have in common', () => {
+  it('restores any sequence of heads', () => {
     fc.assert(
       fc.property(heads, sent => {
-        const [from, to] = [new HeadEncoder(), new HeadDecoder()];
-        expect(sent.map(head => to.decode(from.encode(head)))).to.deep.equal(sent);
+        const [encoder, decoder] = [new HeadEncoder(), new HeadDecoder()];
+        expect(sent.map(head => decoder.decode(encoder.encode(head)))).to.deep.equal(sent);
       }),
     );
   });
 
-  it('arrive as they were sent when there are more kinds than are kept', () => {
-    const [from, to] = [new HeadEncoder(), new HeadDecoder()];
+  it('restores heads beyond the limit of templates', () => {
+    const [encoder, decoder] = [new HeadEncoder(), new HeadDecoder()];
     for (let i = 0; i < MAX_TEMPLATES + 50; i++) {
       const head = { ...HEAD, headers: `Host\n${String(i)}\n` };
-      expect(to.decode(from.encode(head))).to.deep.equal(head);
+      expect(decoder.decode(encoder.encode(head))).to.deep.equal(head);
     }
   });
 
-  it('are refused when they name a template that was never defined, or is defined out of turn', () => {
-    const from = new HeadEncoder();
-    const first = from.encode(HEAD);
-    const second = from.encode({ ...HEAD, method: 'POST' });
+  it('rejects heads whose template was never defined, or is defined out of order', () => {
+    const encoder = new HeadEncoder();
+    const first = encoder.encode(HEAD);
+    const second = encoder.encode({ ...HEAD, method: 'POST' });
     expect(new HeadDecoder().decode({ ...first, definition: undefined })).to.equal(undefined);
     expect(new HeadDecoder().decode(second)).to.equal(undefined);
   });
 
-  it('take less than half of the bytes from the second of a kind on: 60 in place of 146', () => {
-    const from = new HeadEncoder();
-    from.encode(HEAD);
-    const whole = bytesOf({ ...NO_HEAD, head: HEAD });
-    expect(bytesOf(from.encode(HEAD))).to.be.below(whole / 2);
+  it('saves more than half of the bytes from the second use of a template on: 60 instead of 146', () => {
+    const encoder = new HeadEncoder();
+    encoder.encode(HEAD);
+    const uncompressed = frameBytes({ ...NO_HEAD, head: HEAD });
+    expect(frameBytes(encoder.encode(HEAD))).to.be.below(uncompressed / 2);
   });
 });
--- a/tests/heardNotices.spec.ts
+++ b/tests/heardNotices.spec.ts
@@ -9,7 +9,7 @@
 const ANSWER = replay({ head: { status: 200, headers: '', unframed: false }, body: Buffer.alloc(0) });
 const REFUSAL = endOf(refusalOf('otherEpoch', 'The daemon was restarted.'), 0);
 
-describe('what was heard of an upstream beside another daemon', () => {
+describe("the last notice of another daemon's local upstream", () => {
   let notices: HeardNotices;
 
   beforeEach(() => {
@@ -17,26 +17,26 @@
     notices.heard('history', OLD, { ...ANSWER, notice: LIMITED });
   });
 
-  it('is told to the next process there only', () => {
+  it('is sent only to a new process of that daemon', () => {
     expect(notices.toTell('history', OLD)).to.equal(undefined);
     expect(notices.toTell('history', NEW)).to.equal(LIMITED);
     expect(notices.toTell('alarms', NEW)).to.equal(undefined);
     expect(notices.toTell('history', { ...NEW, address: '10.0.0.2:1' })).to.equal(undefined);
   });
 
-  it('is told until that one says something, not only refuses', () => {
+  it('is sent until that process reports a notice; a refusal alone does not count', () => {
     notices.heard('history', NEW, REFUSAL);
     expect(notices.toTell('history', NEW)).to.equal(LIMITED);
     notices.heard('history', NEW, { ...REFUSAL, notice: LIMITED });
     expect(notices.toTell('history', NEW)).to.equal(undefined);
   });
 
-  it('ends with an answer of an upstream that has nothing to say', () => {
+  it('is discarded on a response without a notice', () => {
     notices.heard('history', OLD, ANSWER);
     expect(notices.toTell('history', NEW)).to.equal(undefined);
   });
 
-  it('is dropped with a daemon that is gone for good', () => {
+  it('is discarded when the daemon is removed permanently', () => {
     notices.forget(OLD.address);
     expect(notices.toTell('history', NEW)).to.equal(undefined);
   });
--- a/tests/linkServer.spec.ts
+++ b/tests/linkServer.spec.ts
@@ -27,26 +27,26 @@
 
 const NO_CONFIGURATION = () => ({ generation: 0, applyId: '', digest: '', baseDigest: '', sections: [] });
 
-/** A connection of which the test says what comes. */
+/** A connection on which the test emits the received data. */
 function fakeSocket() {
-  const nothing = () => undefined;
+  const noop = () => undefined;
   return Object.assign(new EventEmitter(), {
     write: () => true,
-    destroy: nothing,
-    setNoDelay: nothing,
-    setKeepAlive: nothing,
+    destroy: noop,
+    setNoDelay: noop,
+    setKeepAlive: noop,
   });
 }
 
-/** A frame of one item, behind its length. */
-function bytesOf(item: LinkItem, sentAt = 0): Buffer {
+/** A length-prefixed frame of one item. */
+function encodeFrame(item: LinkItem, sentAt = 0): Buffer {
   const message = LinkFrame.encode({ items: [item], sentAt }).finish();
   const length = Buffer.alloc(4);
   length.writeUInt32BE(message.length);
   return Buffer.concat([length, message]);
 }
 
-describe('the called end of a link', () => {
+describe('the server side of a link', () => {
   const clock = new SystemClock();
   const handledAfter = async (isLagging: boolean): Promise<number> => {
     let handled = 0;
@@ -63,18 +63,18 @@
         configuration: NO_CONFIGURATION,
       }),
     ).to.be.instanceOf(LinkServer);
-    socket.emit('data', bytesOf(REQUEST));
+    socket.emit('data', encodeFrame(REQUEST));
     await new Promise(resolve => setImmediate(resolve));
-    socket.emit('data', bytesOf({ ...EMPTY_ITEM, call: 1, cancel: true }));
-    for (let turn = 0; turn < 4; turn++) await new Promise(resolve => setImmediate(resolve));
+    socket.emit('data', encodeFrame({ ...EMPTY_ITEM, call: 1, cancel: true }));
+    for (let i = 0; i < 4; i++) await new Promise(resolve => setImmediate(resolve));
     return handled;
   };
 
-  it('starts no call of which it reads in the next turn that it was given up, when it is behind with reading', async () => {
+  it('does not start a call that the next event loop iteration cancels, if the event loop lags', async () => {
     expect(await handledAfter(true)).to.equal(0);
   });
 
-  it('takes the time that a call has waited here off its time', async () => {
+  it('subtracts the time that a call was queued from its remaining time', async () => {
     const manual = new ManualClock();
     const socket = fakeSocket();
     const remaining: (number | undefined)[] = [];
@@ -88,55 +88,55 @@
       scheduler: new WorkTurns(manual, () => true),
       configuration: NO_CONFIGURATION,
     });
-    server.receive(bytesOf(REQUEST));
+    server.receive(encodeFrame(REQUEST));
     manual.advance(70);
-    for (let turn = 0; turn < 4; turn++) await new Promise(resolve => setImmediate(resolve));
+    for (let i = 0; i < 4; i++) await new Promise(resolve => setImmediate(resolve));
     expect(remaining).to.deep.equal([CALL_CONTEXT.remainingMs - 70]);
   });
 
-  describe('of calls that were held up on their way', () => {
-    const ON_THE_WAY_MS = 3;
+  describe('for calls that were delayed in transit', () => {
+    const BASE_DELAY_MS = 3;
     let manual: ManualClock;
     let server: LinkServer;
-    let begun: (number | undefined)[];
+    let started: (number | undefined)[];
 
     beforeEach(() => {
       manual = new ManualClock();
       manual.advance(1000);
-      begun = [];
+      started = [];
       server = new LinkServer(fakeSocket() as never, {
         clock: manual,
         handle: ({ context }) => {
-          begun.push(context?.remainingMs);
+          started.push(context?.remainingMs);
           return Promise.resolve(answerOf(endOf(refusalOf('overloaded', ''), 0)));
         },
         scheduler: new WorkTurns(manual, () => false),
         configuration: NO_CONFIGURATION,
       });
-      // The other end's clock is 500 s ahead, and its first word was on its way for 3 ms.
-      server.receive(bytesOf({ ...EMPTY_ITEM, ping: 1 }, 501_000 - ON_THE_WAY_MS));
+      // The client's clock is 500 s ahead, and its first frame was in transit for 3 ms.
+      server.receive(encodeFrame({ ...EMPTY_ITEM, ping: 1 }, 501_000 - BASE_DELAY_MS));
     });
 
-    const receive = async (call: number, heldUpMs: number) => {
+    const receive = async (call: number, delayMs: number) => {
       manual.advance(2000);
-      server.receive(bytesOf({ ...REQUEST, call }, 500_000 + manual.now() - ON_THE_WAY_MS - heldUpMs));
-      for (let turn = 0; turn < 4; turn++) await new Promise(resolve => setImmediate(resolve));
+      server.receive(encodeFrame({ ...REQUEST, call }, 500_000 + manual.now() - BASE_DELAY_MS - delayMs));
+      for (let i = 0; i < 4; i++) await new Promise(resolve => setImmediate(resolve));
     };
 
-    it('begins none whose time is up', async () => {
+    it('does not start one whose deadline has passed', async () => {
       await receive(1, 1500);
-      expect(begun).to.deep.equal([]);
+      expect(started).to.deep.equal([]);
     });
 
-    it('takes what the others have waited off their time, and nothing off that of calls that came at once', async () => {
+    it('subtracts the delay from the remaining time of the others, and nothing for calls without a delay', async () => {
       await receive(1, 400);
       await receive(2, 0);
-      expect(begun[0]).to.be.within(CALL_CONTEXT.remainingMs - 400, CALL_CONTEXT.remainingMs - 395);
-      expect(begun[1]).to.be.within(CALL_CONTEXT.remainingMs - 5, CALL_CONTEXT.remainingMs);
+      expect(started[0]).to.be.within(CALL_CONTEXT.remainingMs - 400, CALL_CONTEXT.remainingMs - 395);
+      expect(started[1]).to.be.within(CALL_CONTEXT.remainingMs - 5, CALL_CONTEXT.remainingMs);
     });
   });
 
-  it('starts a call at once when it is not', async () => {
+  it('starts a call at once if the event loop does not lag', async () => {
     expect(await handledAfter(false)).to.equal(1);
   });
 });
--- a/tests/linkStream.spec.ts
+++ b/tests/linkStream.spec.ts
@@ -4,14 +4,14 @@
 import fc from 'fast-check';
 import { EventEmitter } from 'node:events';
 
-/** Stands for a connection: keeps what is written to it. */
-function connection() {
-  const nothing = () => undefined;
+/** A fake socket that records what is written to it. */
+function fakeSocket() {
+  const noop = () => undefined;
   const socket = Object.assign(new EventEmitter(), {
-    setNoDelay: nothing,
-    setKeepAlive: nothing,
-    cork: nothing,
-    uncork: nothing,
+    setNoDelay: noop,
+    setKeepAlive: noop,
+    cork: noop,
+    uncork: noop,
     written: [] as Uint8Array[],
     destroyed: false,
     write: (chunk: Uint8Array) => socket.written.push(chunk),
@@ -24,22 +24,22 @@
   return frames.flatMap(({ items }) => items.map(({ pong }) => pong));
 }
 
-describe('frames over a connection', () => {
+describe('a stream of frames', () => {
   const frameWith = (pong: number, bytes: number): LinkFrame => ({
     items: [{ ...EMPTY_ITEM, pong, request: { ...NO_HEAD, body: Buffer.alloc(bytes), last: false } }],
     sentAt: 0,
   });
 
-  it('arrive whole and in order, wherever the connection cuts them', () => {
+  it('delivers complete frames in order, however the bytes are split', () => {
     const sizes = fc.array(fc.integer({ min: 0, max: 40_000 }), { minLength: 1, maxLength: 6 });
     fc.assert(
       fc.property(sizes, fc.array(fc.integer({ min: 1, max: 30_000 }), { minLength: 1 }), (bodies, cuts) => {
-        const sender = connection();
+        const sender = fakeSocket();
         const writer = new FrameStream(sender as never, { onFrame: () => undefined, onEnd: () => undefined });
         bodies.forEach((bytes, index) => writer.write(frameWith(index + 1, bytes)));
         const sent = Buffer.concat(sender.written);
         const received: LinkFrame[] = [];
-        const reader = new FrameStream(connection() as never, {
+        const reader = new FrameStream(fakeSocket() as never, {
           onFrame: frame => received.push(frame),
           onEnd: () => undefined,
         });
@@ -56,22 +56,22 @@
 
   const endedBy = (bytes: Buffer) => {
     const ends: string[] = [];
-    const socket = connection();
+    const socket = fakeSocket();
     const reader = new FrameStream(socket as never, {
       onFrame: () => undefined,
-      onEnd: why => ends.push(why),
+      onEnd: reason => ends.push(reason),
     });
     reader.receive(bytes);
     return { ends, isClosed: socket.destroyed };
   };
 
-  it('end the link when a length is out of bounds', () => {
+  it('ends the link on a frame that is too long', () => {
     const { ends, isClosed } = endedBy(Buffer.from([0x7f, 0, 0, 0, 1]));
     expect(ends).to.have.lengthOf(1);
     expect(isClosed).to.equal(true);
   });
 
-  it('end the link when a message is none', () => {
+  it('ends the link on a message that cannot be decoded', () => {
     const { ends, isClosed } = endedBy(Buffer.from([0, 0, 0, 2, 0x0a, 0xff]));
     expect(ends).to.have.lengthOf(1);
     expect(isClosed).to.equal(true);
--- a/tests/workTurns.spec.ts
+++ b/tests/workTurns.spec.ts
@@ -2,71 +2,71 @@
 import { ManualClock } from '@cleatquay/clock';
 import { expect } from 'chai';
 
-const nextTurn = () => new Promise(resolve => setImmediate(resolve));
+const nextIteration = () => new Promise(resolve => setImmediate(resolve));
 
-describe('the turns of a process', () => {
+describe('the request scheduler', () => {
   let clock: ManualClock;
   let isLagging: boolean;
-  let turns: WorkTurns;
-  let begun: number[];
+  let scheduler: WorkTurns;
+  let started: number[];
 
   beforeEach(() => {
     clock = new ManualClock();
     isLagging = false;
-    turns = new WorkTurns(clock, () => isLagging);
-    begun = [];
+    scheduler = new WorkTurns(clock, () => isLagging);
+    started = [];
   });
 
-  /** Reads a request that costs so much to begin, ms. */
+  /** Simulates a request that was read and takes `costMs` to start. */
   const read = (request: number, costMs: number) => {
-    const begin = () => {
-      begun.push(request);
+    const start = () => {
+      started.push(request);
       clock.advance(costMs);
     };
-    const turn = turns.take();
-    if (turn) void turn.then(begin);
-    else begin();
+    const queued = scheduler.take();
+    if (queued) void queued.then(start);
+    else start();
   };
 
-  it('begin requests at once while there is time', () => {
+  it('starts requests at once within the time slice of an iteration', () => {
     [1, 2, 3].forEach(request => read(request, 5));
-    expect(begun).to.deep.equal([1, 2, 3]);
+    expect(started).to.deep.equal([1, 2, 3]);
   });
 
-  it('leave those for which there is none until one more turn has read everything', async () => {
+  it('queues requests beyond the time slice until one more iteration has read everything', async () => {
     [1, 2, 3].forEach(request => read(request, 15));
-    expect(begun).to.deep.equal([1, 2]);
-    await nextTurn();
-    expect(begun).to.deep.equal([1, 2]);
-    await nextTurn();
-    expect(begun).to.deep.equal([1, 2, 3]);
+    expect(started).to.deep.equal([1, 2]);
+    await nextIteration();
+    expect(started).to.deep.equal([1, 2]);
+    await nextIteration();
+    expect(started).to.deep.equal([1, 2, 3]);
   });
 
-  it('begin them in the order in which they were read, for a bounded time of each turn', async () => {
+  it('starts queued requests in order, for a bounded time of each iteration', async () => {
     for (let request = 1; request <= 9; request++) read(request, 10);
-    expect(begun).to.deep.equal([1, 2]);
-    for (let turn = 0; turn < 3; turn++) await nextTurn();
-    expect(begun.length).to.be.within(4, 6);
-    for (let turn = 0; turn < 9; turn++) await nextTurn();
-    expect(begun).to.deep.equal([1, 2, 3, 4, 5, 6, 7, 8, 9]);
+    expect(started).to.deep.equal([1, 2]);
+    for (let i = 0; i < 3; i++) await nextIteration();
+    expect(started.length).to.be.within(4, 6);
+    for (let i = 0; i < 9; i++) await nextIteration();
+    expect(started).to.deep.equal([1, 2, 3, 4, 5, 6, 7, 8, 9]);
   });
 
-  it('let none overtake those that wait', async () => {
+  it('lets no request overtake queued ones', async () => {
     [1, 2, 3].forEach(request => read(request, 15));
-    await nextTurn();
+    await nextIteration();
     read(4, 1);
-    for (let turn = 0; turn < 4; turn++) await nextTurn();
-    expect(begun).to.deep.equal([1, 2, 3, 4]);
+    for (let i = 0; i < 4; i++) await nextIteration();
+    expect(started).to.deep.equal([1, 2, 3, 4]);
   });
 
-  it('leave all that is read while the process lags to the next turn, and tell how long the first has waited', async () => {
+  it('queues everything that is read while the event loop lags, and reports how long the first request has waited', async () => {
     isLagging = true;
     read(1, 1);
     clock.advance(40);
-    expect(begun).to.deep.equal([]);
-    expect(turns.waitMs()).to.equal(40);
-    for (let turn = 0; turn < 3; turn++) await nextTurn();
-    expect(begun).to.deep.equal([1]);
-    expect(turns.waitMs()).to.equal(0);
+    expect(started).to.deep.equal([]);
+    expect(scheduler.waitMs()).to.equal(40);
+    for (let i = 0; i < 3; i++) await nextIteration();
+    expect(started).to.deep.equal([1]);
+    expect(scheduler.waitMs()).to.equal(0);
   });
 });
