--- a/packages/calls/src/innerServer.ts
+++ b/packages/calls/src/innerServer.ts
@@ -87,8 +87,8 @@
   }
 
   private serveLink(socket: Socket, first: Buffer): void {
-    const { exchange: handle, turns, configuration, clock } = this.handlers;
-    const link = new LinkServer(socket, { clock, handle, scheduler: turns, configuration });
+    const { exchange: handle, turns: scheduler, configuration, clock } = this.handlers;
+    const link = new LinkServer(socket, { clock, handle, scheduler, configuration });
     this.links.set(socket, link);
     socket.once('close', () => this.links.delete(socket));
     link.receive(first);
