--- a/packages/calls/src/answers.ts
+++ b/packages/calls/src/answers.ts
@@ -3,7 +3,10 @@
 import { crc32 } from 'node:zlib';
 import { type CallAnswer, answerOf } from './callHandler.js';
 
-/** Size from which a part is sent. A response up to this size is a single part, so the request can be retried if the response is truncated. */
+/**
+ * Body bytes from which a part is sent. A response up to this size is a single part, and if it is truncated, the request
+ * can be retried.
+ */
 export const PART_BYTES = 65_536;
 /** Larger responses to non-idempotent requests are not stored for replay. */
 export const MAX_RECORDED_BYTES = 1_048_576;
@@ -99,7 +102,10 @@
   private bytes = 0;
   private readonly checksum = new BodyCheck();
 
-  /** Returns the response with its last part; undefined before that, for refusals, and if the response is too large or fails the check. */
+  /**
+   * Returns the response when its last part is added; undefined before that, for refusals, and for responses that are too
+   * large to store or do not match their checksum.
+   */
   add(part: AnswerPart): RecordedAnswer | undefined {
     this.head ??= part.head;
     this.checksum.add(part.body);
--- a/packages/calls/src/headTemplates.ts
+++ b/packages/calls/src/headTemplates.ts
@@ -23,7 +23,7 @@
 export class HeadEncoder {
   private readonly numberByKey = new Map<string, number>();
 
-  /** Encodes a head. Heads have to be sent in the order in which they are encoded, since the first use of a template defines it. */
+  /** Encodes a head, which has to be sent before any head that is encoded later: the first use of a template defines it. */
   encode(head: RequestHead): EncodedHead {
     const { context } = head;
     if (!context || context.toHome) return { ...NO_HEAD, head };
--- a/packages/calls/src/heardNotices.ts
+++ b/packages/calls/src/heardNotices.ts
@@ -12,7 +12,7 @@
   readonly notice: UpstreamNotice;
 }
 
-/** The latest notice of each service beside each daemon. */
+/** The latest notice of each service's upstream, by the address of its daemon. */
 export class HeardNotices {
   private readonly byAddress = new Map<string, Map<string, ReceivedNotice>>();
 
--- a/packages/calls/src/link.ts
+++ b/packages/calls/src/link.ts
@@ -43,11 +43,11 @@
 
 /** A configuration request that waits for the peer's response. */
 interface PendingConfiguration {
-  readonly resolve: (answer: ConfigurationAnswer) => void;
+  readonly resolve: (response: ConfigurationAnswer) => void;
   readonly reject: (error: LostContact) => void;
 }
 
-/** Ends when the connection closes or the peer becomes unreachable. */
+/** The client side of one link. It ends when the connection closes or the peer becomes unreachable. */
 export class LinkClient {
   private readonly calls = new Map<number, PendingCall>();
   private readonly pendingConfigurations = new Map<number, PendingConfiguration>();
@@ -73,7 +73,7 @@
     this.lastReceivedAt = clock.now();
     this.stream = new FrameStream(socket, {
       onFrame: frame => this.handleFrame(frame),
-      onEnd: why => this.fail(why),
+      onEnd: reason => this.fail(reason),
     });
     const sendTime = new SendTime(clock);
     this.writer = new FrameWriter(items => this.stream.write({ items, sentAt: toSentAt(sendTime.now()) }));
@@ -90,7 +90,7 @@
     if (this.failure) throw new LostContact(this.failure.message, true);
   }
 
-  /** Whether calls are pending, or the peer is unresponsive and its state has to be checked on. */
+  /** Whether calls are pending, or the peer is unresponsive and has to be checked until it responds or is unreachable. */
   get isInUse(): boolean {
     return this.calls.size > 0 || this.pendingConfigurations.size > 0 || this.isPeerUnresponsive;
   }
@@ -178,10 +178,10 @@
       this.writer.send({ call: number, cancel: true });
   }
 
-  /** Ends the link and all of its calls. */
-  fail(why: string): void {
+  /** Ends the link and all of its calls. `reason` completes the error message, which begins with the peer's address. */
+  fail(reason: string): void {
     if (this.failure) return;
-    this.failure = new LostContact(`${this.address} ${why}.`, false);
+    this.failure = new LostContact(`${this.address} ${reason}.`, false);
     for (const call of [...this.calls.values()]) call.onFailure(this.failure);
     for (const { reject } of this.pendingConfigurations.values()) reject(this.failure);
     this.pendingConfigurations.clear();
--- a/packages/calls/src/linkParts.ts
+++ b/packages/calls/src/linkParts.ts
@@ -4,7 +4,7 @@
 /** Parts of one call that may be sent before the receiver has consumed them: 256 KiB a call with parts of 64 KiB. */
 const WINDOW_PARTS = 4;
 /** A frame with more body bytes is written before the iteration ends; well below the longest that a peer accepts. */
-const MAX_GATHERED_BYTES = 512 * 1024;
+const MAX_BATCH_BYTES = 512 * 1024;
 
 /** The default values of an item's fields. */
 export const EMPTY_ITEM: LinkItem = {
@@ -31,7 +31,7 @@
     if (this.pending.length === 0) setImmediate(() => this.flush());
     this.pending.push({ ...EMPTY_ITEM, ...item });
     this.bytes += (item.request ?? item.answer)?.body.length ?? 0;
-    if (this.bytes > MAX_GATHERED_BYTES) this.flush();
+    if (this.bytes > MAX_BATCH_BYTES) this.flush();
   }
 
   private flush(): void {
--- a/packages/calls/src/linkStream.ts
+++ b/packages/calls/src/linkStream.ts
@@ -9,7 +9,7 @@
 const MAX_FRAME_BYTES = 4 * 1_048_576;
 const LENGTH_BYTES = 4;
 /** Messages up to this size are copied into one buffer with their length: one write costs less than two. */
-const MAX_COPIED_FRAME_BYTES = 16_384;
+const MAX_COPIED_MESSAGE_BYTES = 16_384;
 /** Idle time after which TCP probes a connection. */
 const TCP_KEEP_ALIVE_DELAY_MS = 5000;
 
@@ -17,7 +17,7 @@
 export interface FrameStreamEvents {
   readonly onFrame: (frame: LinkFrame) => void;
   /** Called once, when no more frames will arrive. */
-  readonly onEnd: (why: string) => void;
+  readonly onEnd: (reason: string) => void;
 }
 
 /** Reads and writes frames on a connection between two daemons. */
@@ -41,7 +41,7 @@
   write(frame: LinkFrame): void {
     if (this.ended) return;
     const message = LinkFrame.encode(frame).finish();
-    if (message.length <= MAX_COPIED_FRAME_BYTES) {
+    if (message.length <= MAX_COPIED_MESSAGE_BYTES) {
       const bytes = Buffer.allocUnsafe(LENGTH_BYTES + message.length);
       bytes.writeUInt32BE(message.length, 0);
       bytes.set(message, LENGTH_BYTES);
@@ -88,10 +88,10 @@
     this.events.onFrame(frame);
   }
 
-  private end(why: string): void {
+  private end(reason: string): void {
     if (this.ended) return;
     this.ended = true;
     this.socket.destroy();
-    this.events.onEnd(why);
+    this.events.onEnd(reason);
   }
 }
--- a/packages/calls/src/peers.ts
+++ b/packages/calls/src/peers.ts
@@ -30,7 +30,7 @@
 
 /** Interval of attempts to reconnect to an unreachable peer. */
 const RECONNECT_INTERVAL_MS = 200;
-/** A failure domain counts as partitioned from this many peers that are unresponsive or unreachable, if no other was active recently. */
+/** A failure domain is considered partitioned if at least this many of its peers do not respond and no other was active recently. */
 const MIN_UNREACHABLE_PEERS = 2;
 /** A peer that sent something within this time shows that its failure domain is not partitioned. */
 const DOMAIN_ACTIVITY_MS = 300;
@@ -60,7 +60,7 @@
     body: CallBody,
     signal: CancelSignal,
   ): Promise<CallAnswer> {
-    if (this.isCut(address)) throw new LostContact(`${address} is cut off.`, true);
+    if (this.isCut(address)) throw new LostContact(`${address} is partitioned.`, true);
     const link = this.links.get(address) ?? (await this.connectOrReconnectLater(address));
     this.scheduleLivenessCheck();
     const response = await link.exchange(head, body, signal);
@@ -88,7 +88,7 @@
 
   /** Asks a peer to seal an attempt, which bars it from dispatch. */
   async seal(address: string, request: SealRequest, timeoutMs: number): Promise<SealAnswer> {
-    if (this.isCut(address)) throw new LostContact(`${address} is cut off.`, true);
+    if (this.isCut(address)) throw new LostContact(`${address} is partitioned.`, true);
     return new Promise((resolve, reject) => {
       const deadline = Date.now() + timeoutMs;
       this.client(address).seal(request, new Metadata(), { deadline }, (error, response) => {
@@ -100,7 +100,7 @@
 
   /** Fetches from a peer what this daemon's configuration lacks. */
   async fetchConfiguration(address: string, request: ConfigurationRequest): Promise<ConfigurationAnswer> {
-    if (this.isCut(address)) throw new LostContact(`${address} is cut off.`, true);
+    if (this.isCut(address)) throw new LostContact(`${address} is partitioned.`, true);
     const link = this.links.get(address) ?? (await this.connectOrReconnectLater(address));
     this.scheduleLivenessCheck();
     const cancellation = new Cancellation();
@@ -181,8 +181,8 @@
 
   /** The link to a peer; concurrent calls share one connection attempt. */
   private connect(address: string): Promise<LinkClient> {
-    const known = this.links.get(address);
-    if (known) return Promise.resolve(known);
+    const link = this.links.get(address);
+    if (link) return Promise.resolve(link);
     let connecting = this.connecting.get(address);
     if (!connecting) {
       connecting = this.open(address).finally(() => this.connecting.delete(address));
--- a/packages/calls/src/replayBody.ts
+++ b/packages/calls/src/replayBody.ts
@@ -22,7 +22,7 @@
     return !this.streaming;
   }
 
-  /** The complete body if it was received already, as most are, since they are empty. */
+  /** The complete body if it has been received already; most bodies are empty and need no waiting. */
   get atHand(): Buffer | undefined {
     return this.whole;
   }
--- a/packages/calls/src/upstreamConnections.ts
+++ b/packages/calls/src/upstreamConnections.ts
@@ -100,7 +100,7 @@
     return this.hasDelimitedResponses;
   }
 
-  /** Called when a reused connection was in a wrong state: stops reuse for non-idempotent requests for a while. */
+  /** Called after a mismatched response or a failed connection: stops the reuse of connections for non-idempotent requests for a while. */
   distrust(): void {
     this.noReuseUntil = this.clock.now() + NO_REUSE_MS;
   }
