--- a/packages/daemon/src/callerAnswer.ts
+++ b/packages/daemon/src/callerAnswer.ts
@@ -1,4 +1,4 @@
-/** Between HTTP and the parts of an answer. */
+/** Parses the HTTP requests of callers, and writes HTTP responses from the parts of a call response. */
 import {
   type CallAnswer,
   type CallerRequest,
@@ -16,19 +16,19 @@
 import { type IncomingMessage, type ServerResponse } from 'node:http';
 import { type Duplex } from 'node:stream';
 
-const FAILED_FROM = 500;
+const FIRST_SERVER_ERROR_STATUS = 500;
 /**
- * Bodies of whole answers up to this size are written as text of one byte a character, bytes: node joins such text with
- * the head into one write, where a buffer takes two that are gathered.
+ * Bodies of complete responses up to this size are written as latin1 strings: node concatenates a string with the
+ * response head into a single write, whereas a buffer takes a gathered write of two.
  */
-const COPIED_BYTES = 8192;
-const LONGEST_TIMEOUT_MS = 600_000;
+const SINGLE_WRITE_MAX_BYTES = 8192;
+const MAX_TIMEOUT_MS = 600_000;
 
-/** How a request is counted whose caller left before its answer. */
-export const CALLER_GONE = refusalOf('contactLost', 'The caller left.');
+/** Result under which a request is counted whose caller disconnected before the response was complete. */
+export const DISCONNECT_REFUSAL = refusalOf('contactLost', 'The caller disconnected.');
 
-/** Reads service, path and the system's headers off an HTTP request. */
-export function callerRequest(request: IncomingMessage, needsKeys: boolean): CallerRequest {
+/** Parses service, path and cleatquay headers of an HTTP request. */
+export function parseCallerRequest(request: IncomingMessage, needsKeys: boolean): CallerRequest {
   const url = request.url ?? '/';
   const [, service = '', rest = ''] = /^\/([^/?]+)(.*)$/.exec(url) ?? [];
   return {
@@ -37,61 +37,64 @@
     path: rest.startsWith('/') ? rest : `/${rest}`,
     headers: passedRawHeaders(request.rawHeaders, needsKeys ? OWN_HEADERS_WITH_KEYS : OWN_HEADERS),
     credentials: needsKeys ? credentialsIn(request.rawHeaders, CREDENTIALS) : 'none',
-    requestId: header(request, headerNames.requestId),
-    idempotencyKey: header(request, headerNames.idempotencyKey),
-    parent: header(request, headerNames.parent),
-    callKey: header(request, headerNames.callKey),
-    timeoutMs: timeoutOf(request),
+    requestId: headerValue(request, headerNames.requestId),
+    idempotencyKey: headerValue(request, headerNames.idempotencyKey),
+    parent: headerValue(request, headerNames.parent),
+    callKey: headerValue(request, headerNames.callKey),
+    timeoutMs: parseTimeout(request),
   };
 }
 
-function header(request: IncomingMessage, name: string): string | undefined {
+function headerValue(request: IncomingMessage, name: string): string | undefined {
   const value = request.headers[name];
   return typeof value === 'string' ? value : undefined;
 }
 
-function timeoutOf(request: IncomingMessage): number | undefined {
-  const text = header(request, headerNames.timeoutMs);
+function parseTimeout(request: IncomingMessage): number | undefined {
+  const text = headerValue(request, headerNames.timeoutMs);
   if (text === undefined) return undefined;
   const ms = Number(text);
-  if (Number.isInteger(ms) && ms > 0 && ms <= LONGEST_TIMEOUT_MS) return ms;
-  throw new Failure(`Expected whole milliseconds from 1 to ${String(LONGEST_TIMEOUT_MS)}, found "${text}".`, {
-    result: 'headerInvalid',
-    field: headerNames.timeoutMs,
-  });
+  if (Number.isInteger(ms) && ms > 0 && ms <= MAX_TIMEOUT_MS) return ms;
+  throw new Failure(
+    `Expected an integer from 1 to ${String(MAX_TIMEOUT_MS)} (milliseconds), found "${text}".`,
+    {
+      result: 'headerInvalid',
+      field: headerNames.timeoutMs,
+    },
+  );
 }
 
-/** How callers are told what isn't in an upstream's answer. */
-export interface AnswerWriter {
-  /** Headers beside those of the upstream: names and values by turns. */
+/** Writes what a daemon adds to an upstream's response, and the refusals that stand in for one. */
+export interface ResponseWriter {
+  /** Headers in addition to those of the upstream: alternating names and values. */
   readonly headers: (status: number, request: IncomingMessage) => string[];
   readonly refusal: (response: ServerResponse, refusal: Refusal) => void;
 }
 
-/** The words of our own interface. */
-export const ownWriter: AnswerWriter = {
-  headers: status => [headerNames.outcome, status >= FAILED_FROM ? 'failed' : 'answered'],
+/** Writes responses of the native interface. */
+export const nativeResponseWriter: ResponseWriter = {
+  headers: status => [headerNames.outcome, status >= FIRST_SERVER_ERROR_STATUS ? 'failed' : 'answered'],
   refusal: writeRefusal,
 };
 
-/** Writes an answer; most have a single part. */
-export async function writeAnswer(
+/** Writes a response; most have a single part. */
+export async function writeResponse(
   response: ServerResponse,
   { first, rest }: CallAnswer,
-  writer: AnswerWriter,
+  writer: ResponseWriter,
 ): Promise<Refusal | undefined> {
-  const isWhole = writePart(response, first, writer);
-  return isWhole || !rest ? first.refusal : writeParts(response, rest, writer);
+  const isComplete = writeResponsePart(response, first, writer);
+  return isComplete || !rest ? first.refusal : writeResponseParts(response, rest, writer);
 }
 
-/** Writes an answer as its parts come. One that breaks off after its beginning breaks the connection off. */
-export async function writeParts(
+/** Streams the parts of a response. If they end early after the response head, the connection is destroyed. */
+export async function writeResponseParts(
   response: ServerResponse,
   parts: AsyncIterable<AnswerPart>,
-  writer: AnswerWriter,
+  writer: ResponseWriter,
 ): Promise<Refusal | undefined> {
   for await (const part of parts) {
-    if (writePart(response, part, writer)) return part.refusal;
+    if (writeResponsePart(response, part, writer)) return part.refusal;
     if (response.writableNeedDrain) await Promise.race([once(response, 'drain'), once(response, 'close')]);
     if (response.destroyed) return undefined;
   }
@@ -99,16 +102,17 @@
   return undefined;
 }
 
-/** Writes a part; says whether it was the last. */
-function writePart(response: ServerResponse, part: AnswerPart, writer: AnswerWriter): boolean {
+/** Writes a part; returns whether it was the last one. */
+function writeResponsePart(response: ServerResponse, part: AnswerPart, writer: ResponseWriter): boolean {
   if (part.refusal) {
     if (response.headersSent) response.destroy();
     else writer.refusal(response, part.refusal);
     return true;
   }
-  const isWhole = part.head !== undefined && part.end !== undefined;
+  const isComplete = part.head !== undefined && part.end !== undefined;
   if (part.head) writeHead(response, part.head, part.end?.length, writer);
-  if (isWhole && part.body.length <= COPIED_BYTES) response.end(part.body.toString('latin1'), 'latin1');
+  if (isComplete && part.body.length <= SINGLE_WRITE_MAX_BYTES)
+    response.end(part.body.toString('latin1'), 'latin1');
   else if (part.end) response.end(part.body);
   else response.write(part.body);
   return part.end !== undefined;
@@ -118,41 +122,46 @@
   response: ServerResponse,
   { status, headers, unframed }: AnswerHead,
   length: number | undefined,
-  writer: AnswerWriter,
+  writer: ResponseWriter,
 ): void {
   const list = [...headerList(headers), ...writer.headers(status, response.req)];
-  if (unframed) endWithConnection(response);
+  if (unframed) delimitByConnectionClose(response);
   else if (length !== undefined) list.push('content-length', String(length));
   response.writeHead(status, list);
 }
 
-/** The answer goes as it came: nobody knows its length, and to tell one would vouch for it. */
-function endWithConnection(response: ServerResponse): void {
+/**
+ * Forwards a close-delimited response as such: its length is unknown, and any framing added here would claim that a
+ * truncated body is complete.
+ */
+function delimitByConnectionClose(response: ServerResponse): void {
   response.useChunkedEncodingByDefault = false;
   response.shouldKeepAlive = false;
 }
 
-/** Writes a refusal: outcome and time to come back in headers, and all of it as JSON. */
+/** Writes a refusal: outcome and retry delay as headers, and all fields as a JSON body. */
 export function writeRefusal(response: ServerResponse, refusal: Refusal): void {
   const name = resultByCode(refusal.code);
   const { status, advice } = resultCodes[name];
   const { code, message, outcome, retryAfterMs } = refusal;
-  const comeBack = retryAfterMs > 0 ? { 'retry-after': String(Math.ceil(retryAfterMs / 1000)) } : {};
-  const exact = retryAfterMs > 0 ? { [headerNames.retryAfterMs]: String(retryAfterMs) } : {};
+  const retryAfterHeader = retryAfterMs > 0 ? { 'retry-after': String(Math.ceil(retryAfterMs / 1000)) } : {};
+  const exactRetryAfterHeader = retryAfterMs > 0 ? { [headerNames.retryAfterMs]: String(retryAfterMs) } : {};
   const text = JSON.stringify({ code, result: name, outcome, message, advice, retryAfterMs });
   response.writeHead(status, {
     'content-type': 'application/json',
     'content-length': String(Buffer.byteLength(text)),
     [headerNames.outcome]: outcome,
-    ...comeBack,
-    ...exact,
+    ...retryAfterHeader,
+    ...exactRetryAfterHeader,
   });
   response.end(text);
 }
 
-const PARSER_STATUS: Record<string, string> = { HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large' };
+const STATUS_BY_PARSER_ERROR: Record<string, string> = {
+  HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
+};
 
-/** Answers bytes that are no usable HTTP, and closes the connection. */
+/** Responds to input that is not valid HTTP, and closes the connection. */
 export function writeHttpParserError(error: Error & { code?: string }, socket: Duplex): void {
   if (error.code === 'ECONNRESET' || !socket.writable) return void socket.destroy();
   const { code, outcome, advice } = resultCodes.headerInvalid;
@@ -160,10 +169,10 @@
     code,
     result: 'headerInvalid',
     outcome,
-    message: 'The request is not usable HTTP.',
+    message: 'The request is not valid HTTP.',
     advice,
   });
-  const status = PARSER_STATUS[error.code ?? ''] ?? '400 Bad Request';
+  const status = STATUS_BY_PARSER_ERROR[error.code ?? ''] ?? '400 Bad Request';
   const head = [
     `HTTP/1.1 ${status}`,
     'content-type: application/json',
--- a/packages/daemon/src/callerGateway.ts
+++ b/packages/daemon/src/callerGateway.ts
@@ -1,4 +1,4 @@
-/** The callers' side: a moleculer-web gateway that hands every request to the entry. */
+/** The native caller API: a moleculer-web gateway that passes every request to the ingress. */
 import {
   type CallBody,
   type CallerRequest,
@@ -12,46 +12,53 @@
 import { type ServiceSchema } from 'moleculer';
 import ApiGateway from 'moleculer-web';
 import { type IncomingMessage, type ServerResponse } from 'node:http';
-import { CALLER_GONE, callerRequest, ownWriter, writeParts, writeRefusal } from './callerAnswer.js';
-import { departureOf } from './departures.js';
+import {
+  DISCONNECT_REFUSAL,
+  parseCallerRequest,
+  nativeResponseWriter,
+  writeResponseParts,
+  writeRefusal,
+} from './callerAnswer.js';
+import { disconnectSignalOf } from './departures.js';
 import { gatewaySettings } from './gatewaySettings.js';
 import { type Metrics } from './metrics.js';
 
-/** What the gateway needs of its daemon. */
+/** Dependencies of the gateway. */
 export interface CallerGatewayOptions {
   readonly ip: string;
   readonly port: number;
-  readonly entry: Entry;
+  readonly ingress: Entry;
   readonly metrics: Metrics;
-  /** Whether requests need keys. */
+  /** Whether requests have to carry an API key. */
   readonly needsKeys: () => boolean;
-  /** Undefined, or how far the daemon's own departure is. */
-  readonly leaving: () => 'announced' | 'refusing' | undefined;
-  readonly turns: WorkTurns;
+  /** How far the shutdown of the daemon has got; undefined while it runs. */
+  readonly shutdownPhase: () => 'announced' | 'refusing' | undefined;
+  readonly scheduler: WorkTurns;
   /** Counts requests in flight, so that a shutdown can wait for them. */
-  readonly track: <T>(work: Promise<T>) => Promise<T>;
+  readonly trackInFlight: <T>(work: Promise<T>) => Promise<T>;
 }
 
-/** The moleculer service of the callers' side. */
+/** The moleculer service of the caller API. */
 export function callerGateway(options: CallerGatewayOptions): ServiceSchema {
   const serve = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
-    const gone = departureOf(request, response);
-    const end = options.metrics.requestStarted();
-    const leaving = options.leaving();
-    if (leaving) response.setHeader('connection', 'close');
-    await options.turns.take();
-    if (gone.aborted) return end('', CALLER_GONE);
+    const disconnect = disconnectSignalOf(request, response);
+    const recordEnd = options.metrics.requestStarted();
+    const shutdownPhase = options.shutdownPhase();
+    if (shutdownPhase) response.setHeader('connection', 'close');
+    await options.scheduler.take();
+    if (disconnect.aborted) return recordEnd('', DISCONNECT_REFUSAL);
     try {
       const onRequestId = (id: string) => void response.setHeader(headerNames.requestId, id);
-      const parsed: CallerRequest = { ...callerRequest(request, options.needsKeys()), onRequestId };
-      if (leaving === 'refusing' && parsed.parent === undefined) return refuseLeaving(parsed, response);
-      const parts = options.entry.handle(parsed, bodyOf(request), gone.signal);
-      const refusal = await writeParts(response, parts, ownWriter);
-      end(parsed.service, refusal);
+      const parsed: CallerRequest = { ...parseCallerRequest(request, options.needsKeys()), onRequestId };
+      if (shutdownPhase === 'refusing' && parsed.parent === undefined)
+        return refuseDuringShutdown(parsed, response);
+      const parts = options.ingress.handle(parsed, bodyOf(request), disconnect.signal);
+      const refusal = await writeResponseParts(response, parts, nativeResponseWriter);
+      recordEnd(parsed.service, refusal);
     } catch (error) {
       const failure = asFailure(error);
       const refusal = refusalOf(failure.result, failure.describe());
-      end('', refusal);
+      recordEnd('', refusal);
       if (response.headersSent) response.destroy();
       else writeRefusal(response, refusal);
     }
@@ -70,23 +77,23 @@
             'POST /cleatquay/ids': (request: IncomingMessage, response: ServerResponse) =>
               issueIds(options, request, response),
             '* /:service/:rest*': (request: IncomingMessage, response: ServerResponse) =>
-              void options.track(serve(request, response)),
+              void options.trackInFlight(serve(request, response)),
           },
         },
       ],
       onError(_request: IncomingMessage, response: ServerResponse) {
-        writeRefusal(response, refusalOf('routeUnknown', 'Expected /service/path.'));
+        writeRefusal(response, refusalOf('routeUnknown', 'Expected a path of the form /service/path.'));
       },
     },
   };
 }
 
-/** A request that may have been sent before is not said to have run nowhere. */
-function refuseLeaving({ requestId, idempotencyKey }: CallerRequest, response: ServerResponse): void {
+/** The outcome of a request that may have been sent before is unknown: an earlier attempt may have run. */
+function refuseDuringShutdown({ requestId, idempotencyKey }: CallerRequest, response: ServerResponse): void {
   const isFirst = requestId === undefined && idempotencyKey === undefined;
   writeRefusal(
     response,
-    refusalOf('draining', 'This daemon is leaving.', isFirst ? {} : { outcome: 'unknown' }),
+    refusalOf('draining', 'This daemon is shutting down.', isFirst ? {} : { outcome: 'unknown' }),
   );
 }
 
@@ -96,18 +103,25 @@
   return hasBody ? request : EMPTY_BODY;
 }
 
-const MOST_IDS = 1000;
+const MAX_ISSUED_IDS = 1000;
 
-/** Request ids ahead of use: POST /cleatquay/ids?count=10 */
-function issueIds({ entry }: CallerGatewayOptions, request: IncomingMessage, response: ServerResponse): void {
+/** Issues request ids for later use: POST /cleatquay/ids?count=10 */
+function issueIds(
+  { ingress }: CallerGatewayOptions,
+  request: IncomingMessage,
+  response: ServerResponse,
+): void {
   const count = Number(new URL(request.url ?? '/', 'http://daemon').searchParams.get('count') ?? '1');
-  if (!Number.isInteger(count) || count < 1 || count > MOST_IDS) {
-    writeRefusal(response, refusalOf('headerInvalid', `count: expected 1 to ${String(MOST_IDS)}.`));
+  if (!Number.isInteger(count) || count < 1 || count > MAX_ISSUED_IDS) {
+    writeRefusal(
+      response,
+      refusalOf('headerInvalid', `count: expected an integer from 1 to ${String(MAX_ISSUED_IDS)}.`),
+    );
     return;
   }
-  const ids = Array.from({ length: count }, () => entry.issueId());
+  const ids = Array.from({ length: count }, () => ingress.issueId());
   if (ids.includes(undefined))
-    return writeRefusal(response, refusalOf('memoryFull', 'No ids can be given just now.'));
+    return writeRefusal(response, refusalOf('memoryFull', 'No request ids can be issued at the moment.'));
   response.writeHead(200, { 'content-type': 'application/json', [headerNames.outcome]: 'answered' });
   response.end(JSON.stringify({ ids }));
 }
--- a/packages/daemon/src/core.ts
+++ b/packages/daemon/src/core.ts
@@ -1,4 +1,4 @@
-/** What every daemon has, whatever its callers speak: membership, the inner protocol, and the upstreams beside it. */
+/** What every daemon has, whichever protocol its callers use: membership, the peer protocol and the local upstreams. */
 import {
   type AnswerNotice,
   type CallAnswer,
@@ -41,30 +41,30 @@
 import { askHealth } from './upstreamHealth.js';
 import { Upstreams, type UpstreamsOptions } from './upstreams.js';
 
-/** Calls to a leaving peer may still be in flight; its connection is closed so much later, ms. */
-const FORGET_PEER_MS = 60_000;
-/** How long a finding on a failure domain holds, ms: a fraction of the 300 ms after which a peer counts as silent. */
-const CUT_OFF_HOLDS_MS = 50;
-/** How long the level of a route's calls holds, ms: less than a round trip, after which there may be a new one. */
-const LEVEL_HOLDS_MS = 5;
+/** Delay until the connection and state of a peer that is DEAD or LEFT are dropped, ms: calls to it may still be in flight. */
+const FORGET_PEER_DELAY_MS = 60_000;
+/** How long a partition check is cached, ms: a fraction of the 300 ms after which a peer counts as unresponsive. */
+const PARTITION_CACHE_MS = 50;
+/** How long a downstream level is cached, ms: less than a round trip, since a new one arrives after that at the earliest. */
+const DOWNSTREAM_LEVEL_CACHE_MS = 5;
 
-/** Requests that a line names of those that ran where an upstream ended. */
-const SHOWN_REQUESTS = 10;
-const ENDED = 'Upstreams: An upstream ended with requests running.';
+/** Requests that the log line about the crash of an upstream names, at most. */
+const MAX_LOGGED_REQUESTS = 10;
+const CRASH_MESSAGE = 'Upstreams: An upstream crashed with requests in flight.';
 
-/** Where a daemon stands and listens for its peers. */
-export interface CorePlace {
+/** Network settings of a daemon, and its failure domain. */
+export interface CoreSettings {
   readonly ip: string;
   readonly failureDomain: string;
   readonly innerPort: number;
   readonly gossipPort: number;
-  /** Gossip addresses to join by. */
+  /** Gossip addresses of members to join through. */
   readonly seeds: readonly string[];
 }
 
-/** What a core is made from. */
+/** Dependencies of a daemon core. */
 export interface CoreOptions {
-  readonly place: CorePlace;
+  readonly settings: CoreSettings;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
@@ -72,59 +72,64 @@
     UpstreamsOptions,
     'protection' | 'heartbeatMs' | 'slowStart' | 'classes' | 'bounds' | 'checkAddress' | 'onDeparture'
   >;
-  /** Path of the health check of a service's upstreams; undefined if they have none. */
+  /** Health check path of a service's upstreams; undefined if they have none. */
   readonly healthPath: (service: string) => string | undefined;
   readonly dialect: UpstreamDialect;
   readonly retries: RetryBudget;
-  readonly freeMoves: number;
-  /** Whether callers of the forwarder give calls up when their time is up. */
-  readonly signalsEndInTime: boolean;
+  /** Refusals by peers after which a call is rerouted without spending a retry, at most. */
+  readonly freeReroutes: number;
+  /** Whether the signals given to the forwarder abort at the deadline of the call. */
+  readonly signalsEnforceDeadline: boolean;
   readonly routeOf: (head: RequestHead) => CallRoute | undefined;
-  /** The calls that a run of the route makes, as far as is known. */
-  readonly callsOf: (route: CallRoute) => readonly Pick<CallRoute, 'name' | 'service'>[];
-  /** How long a try is remembered, ms. */
-  readonly memoryMs: () => number;
-  readonly isCut: (address: string) => boolean;
-  /** The turns of this process, shared with what callers ask of it. */
-  readonly turns: WorkTurns;
-  /** Keeps what is known of requests under which upstreams end. */
+  /** The calls that executions of the route make, as far as known. */
+  readonly downstreamCallsOf: (route: CallRoute) => readonly Pick<CallRoute, 'name' | 'service'>[];
+  /** How long the record of an attempt is kept, ms. */
+  readonly attemptRetentionMs: () => number;
+  /** Whether traffic to and from the address is dropped (fault hook). */
+  readonly isPartitioned: (address: string) => boolean;
+  /** Bounds the request starts per event loop iteration; shared with the caller API. */
+  readonly scheduler: WorkTurns;
+  /** Persists the quarantine's state. */
   readonly quarantineTable: QuarantineTable;
-  /** Service of the upstream beside this daemon; empty for any. */
-  readonly service: string;
-  /** Serves a call that is meant for this daemon as the home of its id. */
-  readonly atHome: CallHandler;
-  readonly configuration: (request: ConfigurationRequest) => ConfigurationAnswer;
-  /** How lately the configuration was the newest, where that is of use. */
+  /** Service of the local upstream; empty for any. */
+  readonly localService: string;
+  /** Handles a call that is sent to this daemon as the home daemon of its request id. */
+  readonly handleAsHome: CallHandler;
+  readonly answerConfiguration: (request: ConfigurationRequest) => ConfigurationAnswer;
+  /** When the configuration was last known to be the newest; absent if nothing depends on it. */
   readonly freshness?: Freshness;
   readonly quotas?: QuotaHandlers;
-  /** A peer, by its inner address, says which configuration it has. */
-  readonly onConfiguration: (configuration: KnownConfiguration, peer: string) => void;
+  /** Called with the configuration that a peer reports; the peer is named by its peer protocol address. */
+  readonly onPeerConfiguration: (configuration: KnownConfiguration, peer: string) => void;
 }
 
-/** The parts that all daemons share, wired together. */
-export class Core implements AsyncDisposable {
-  readonly journal: Journal;
+/** Creates and connects the components that all daemons share. */
+export class DaemonCore implements AsyncDisposable {
+  readonly decisionTrace: Journal;
   readonly membership: Membership;
   readonly upstreams: Upstreams;
   readonly directory = new Directory();
-  readonly tries: TryMemory;
+  readonly attempts: TryMemory;
   readonly running = new RunningCalls();
   readonly quarantine: Quarantine;
   readonly peers: Peers;
   readonly router: Router;
-  readonly upstreamSide: UpstreamSide;
+  readonly upstreamDispatcher: UpstreamSide;
   readonly forwarder: Forwarder;
-  private readonly levels = new Map<string, { readonly at: number; readonly level: number }>();
-  private readonly cutOff = new Map<string, { readonly at: number; readonly isCutOff: boolean }>();
+  private readonly downstreamLevels = new Map<string, { readonly at: number; readonly level: number }>();
+  private readonly partitionChecks = new Map<
+    string,
+    { readonly at: number; readonly isPartitioned: boolean }
+  >();
 
   private constructor(
     private readonly options: CoreOptions,
-    private readonly inner: InnerServer,
+    private readonly innerServer: InnerServer,
     private readonly datagrams: UdpDatagrams,
-    /** ip:port of the inner protocol, which names the daemon. */
+    /** ip:port of the peer protocol; identifies the daemon. */
     readonly self: string,
   ) {
-    const { place, clock, random, log, isCut } = options;
+    const { settings, clock, random, log, isPartitioned } = options;
     const membershipLog = log.child({ part: 'membership' });
     const upstreamsLog = log.child({ part: 'upstreams' });
     const quarantineLog = log.child({ part: 'quarantine' });
@@ -132,7 +137,7 @@
       clock,
       random,
       table: options.quarantineTable,
-      service: options.service,
+      service: options.localService,
       spread: finding => this.membership.spread(finding),
       log: (message, facts) => quarantineLog.warn(facts, `Quarantine: ${message}`),
     });
@@ -140,13 +145,13 @@
       clock,
       random,
       datagrams,
-      seeds: place.seeds,
-      isCut,
+      seeds: settings.seeds,
+      isCut: isPartitioned,
       self: {
         address: self,
         gossipAddress: datagrams.address,
         operatorAddress: '',
-        failureDomain: place.failureDomain,
+        failureDomain: settings.failureDomain,
         epoch: clock.date().getTime(),
       },
       findings: {
@@ -155,12 +160,12 @@
         heard: finding => this.quarantine.heard(finding),
       },
       ...(options.quotas && { quotas: options.quotas }),
-      ...(options.freshness && { proofs: proofsOf(options.freshness) }),
-      onConfiguration: (configuration, from) => this.heardConfiguration(configuration, from),
+      ...(options.freshness && { proofs: freshnessProofs(options.freshness) }),
+      onConfiguration: (configuration, from) => this.onPeerConfiguration(configuration, from),
       onChange: member => {
         const { address, state, epoch, incarnation } = member;
         membershipLog.info({ address, state, epoch, incarnation }, 'Membership: A member changed.');
-        this.memberChanged(member);
+        this.onMemberChange(member);
       },
     });
     this.upstreams = new Upstreams({
@@ -168,34 +173,34 @@
       clock,
       random,
       onChange: list => this.announceUpstreams(list),
-      askNotice: (service, address) => this.askNotice(service, address),
+      askNotice: (service, address) => this.queryNotice(service, address),
       log: (message, facts) => upstreamsLog.info(facts, `Upstreams: ${message}`),
     });
     const requests = new DecisionLog(clock, log.child({ part: 'requests' }));
-    this.journal = new Journal(clock, requests.write);
-    this.tries = new TryMemory(clock, options.memoryMs);
-    this.peers = new Peers(clock, isCut);
+    this.decisionTrace = new Journal(clock, requests.write);
+    this.attempts = new TryMemory(clock, options.attemptRetentionMs);
+    this.peers = new Peers(clock, isPartitioned);
     this.router = new Router({
       clock,
       random,
       directory: this.directory,
       self,
-      failureDomain: place.failureDomain,
-      contactOf: candidate => this.contactOf(candidate),
+      failureDomain: settings.failureDomain,
+      contactOf: candidate => this.reachabilityOf(candidate),
     });
-    this.upstreamSide = new UpstreamSide({
+    this.upstreamDispatcher = new UpstreamSide({
       clock,
       epoch: () => this.membership.me.epoch,
       routeOf: options.routeOf,
       dialect: options.dialect,
       upstream: service => this.upstreams.get(service),
       told: (service, notice) => this.upstreams.told(service, notice),
-      levelBelow: route => this.levelBelow(route),
-      tries: this.tries,
+      levelBelow: route => this.downstreamLevel(route),
+      tries: this.attempts,
       running: this.running,
-      ends: new UpstreamEnds({ clock, running: this.running, onEnd: end => this.upstreamEnded(end) }),
+      ends: new UpstreamEnds({ clock, running: this.running, onEnd: end => this.onCrash(end) }),
       quarantine: this.quarantine,
-      journal: this.journal,
+      journal: this.decisionTrace,
     });
     this.forwarder = new Forwarder({
       clock,
@@ -203,34 +208,34 @@
       router: this.router,
       peers: this.peers,
       retries: options.retries,
-      freeMoves: options.freeMoves,
-      signalsEndInTime: options.signalsEndInTime,
+      freeMoves: options.freeReroutes,
+      signalsEndInTime: options.signalsEnforceDeadline,
       quarantine: this.quarantine,
-      journal: this.journal,
+      journal: this.decisionTrace,
       self,
-      local: (head, body, signal) => this.upstreamSide.handle(head, body, signal),
+      local: (head, body, signal) => this.upstreamDispatcher.handle(head, body, signal),
     });
   }
 
-  /** Listens for peers; `membership.start` joins them. */
-  static async start(options: CoreOptions): Promise<Core> {
-    const { ip, innerPort, gossipPort } = options.place;
+  /** Starts to listen for peers; `membership.start` joins the cluster. */
+  static async start(options: CoreOptions): Promise<DaemonCore> {
+    const { ip, innerPort, gossipPort } = options.settings;
     const datagrams = await UdpDatagrams.bind(ip, gossipPort);
-    const started: { core?: Core } = {};
-    const inner = new InnerServer({
+    const started: { core?: DaemonCore } = {};
+    const server = new InnerServer({
       clock: options.clock,
-      exchange: (head, body, signal) => serving(started).exchange(head, body, signal),
-      seal: request => serving(started).upstreamSide.seal(request),
-      configuration: options.configuration,
-      turns: options.turns,
+      exchange: (head, body, signal) => requireCore(started).exchange(head, body, signal),
+      seal: request => requireCore(started).upstreamDispatcher.seal(request),
+      configuration: options.answerConfiguration,
+      turns: options.scheduler,
     });
-    const port = await inner.listen(ip, innerPort);
-    started.core = new Core(options, inner, datagrams, `${ip}:${String(port)}`);
+    const port = await server.listen(ip, innerPort);
+    started.core = new DaemonCore(options, server, datagrams, `${ip}:${String(port)}`);
     return started.core;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    await this.inner[Symbol.asyncDispose]();
+    await this.innerServer[Symbol.asyncDispose]();
     await this.quarantine[Symbol.asyncDispose]();
     await this.membership[Symbol.asyncDispose]();
     await this.datagrams[Symbol.asyncDispose]();
@@ -238,39 +243,44 @@
     await this.upstreams[Symbol.asyncDispose]();
   }
 
-  private upstreamEnded({ start, requests }: UpstreamEnd): Promise<void> {
-    const shown = requests.slice(-SHOWN_REQUESTS);
-    this.options.log.warn({ part: 'upstreams', start, running: requests.length, requests: shown }, ENDED);
+  private onCrash({ start, requests }: UpstreamEnd): Promise<void> {
+    const logged = requests.slice(-MAX_LOGGED_REQUESTS);
+    this.options.log.warn(
+      { part: 'upstreams', start, running: requests.length, requests: logged },
+      CRASH_MESSAGE,
+    );
     return this.quarantine.upstreamEnded(start, requests);
   }
 
   private exchange(head: RequestHead, body: CallBody, signal: CancelSignal): Promise<CallAnswer> {
     const isToHome = head.context?.toHome === true;
-    return isToHome ? this.options.atHome(head, body, signal) : this.upstreamSide.handle(head, body, signal);
+    return isToHome
+      ? this.options.handleAsHome(head, body, signal)
+      : this.upstreamDispatcher.handle(head, body, signal);
   }
 
-  private async askNotice(service: string, address: string): Promise<AnswerNotice | undefined> {
+  private async queryNotice(service: string, address: string): Promise<AnswerNotice | undefined> {
     const path = this.options.healthPath(service);
     if (path === undefined) return undefined;
     return this.options.dialect.noticeOf((await askHealth(address, path)).headers);
   }
 
-  private contactOf({ address, failureDomain }: Candidate): Contact {
+  private reachabilityOf({ address, failureDomain }: Candidate): Contact {
     if (address === this.self) return 'good';
-    const own = this.peers.contact(address);
-    if (own !== 'good' || failureDomain === this.options.place.failureDomain) return own;
-    return this.isCutOff(failureDomain) ? 'silent' : 'good';
+    const reachability = this.peers.contact(address);
+    if (reachability !== 'good' || failureDomain === this.options.settings.failureDomain) return reachability;
+    return this.isPartitionedFrom(failureDomain) ? 'silent' : 'good';
   }
 
-  /** Whether a failure domain seems to be cut off; looked at anew every few ms, since each choice asks. */
-  private isCutOff(failureDomain: string): boolean {
+  /** Whether a failure domain seems to be partitioned from this daemon; cached, since every routing choice asks. */
+  private isPartitionedFrom(failureDomain: string): boolean {
     const now = this.options.clock.now();
-    const known = this.cutOff.get(failureDomain);
-    if (known && now - known.at < CUT_OFF_HOLDS_MS) return known.isCutOff;
+    const cached = this.partitionChecks.get(failureDomain);
+    if (cached && now - cached.at < PARTITION_CACHE_MS) return cached.isPartitioned;
     const members = [...this.membership.table.all()].filter(m => m.failureDomain === failureDomain);
-    const isCutOff = this.peers.areCutOff(members.map(m => m.address));
-    this.cutOff.set(failureDomain, { at: now, isCutOff });
-    return isCutOff;
+    const isPartitioned = this.peers.areCutOff(members.map(m => m.address));
+    this.partitionChecks.set(failureDomain, { at: now, isPartitioned });
+    return isPartitioned;
   }
 
   private announceUpstreams(list: ReturnType<Upstreams['list']>): void {
@@ -278,40 +288,40 @@
     this.directory.update(this.membership.me);
   }
 
-  private memberChanged(member: Member): void {
+  private onMemberChange(member: Member): void {
     this.directory.update(member);
     const isGone = member.state === 'DEAD' || member.state === 'LEFT';
-    if (isGone) this.options.clock.after(FORGET_PEER_MS, () => this.forgetPeer(member));
+    if (isGone) this.options.clock.after(FORGET_PEER_DELAY_MS, () => this.forgetPeer(member));
   }
 
   private forgetPeer({ address, epoch }: Member): void {
-    const now = this.membership.table.get(address);
-    if (now?.epoch !== epoch || now.state === 'ALIVE' || now.state === 'SUSPECT') return;
+    const current = this.membership.table.get(address);
+    if (current?.epoch !== epoch || current.state === 'ALIVE' || current.state === 'SUSPECT') return;
     this.peers.forget(address);
     this.router.forget(address);
     this.forwarder.notices.forget(address);
   }
 
-  private heardConfiguration(configuration: KnownConfiguration, from: string): void {
+  private onPeerConfiguration(configuration: KnownConfiguration, from: string): void {
     const peer = this.membership.table.atGossip(from)?.address;
-    if (peer !== undefined) this.options.onConfiguration(configuration, peer);
+    if (peer !== undefined) this.options.onPeerConfiguration(configuration, peer);
   }
 
-  /** The lowest level of what a run of the route calls; looked at anew every few ms, since each answer tells it. */
-  private levelBelow(route: CallRoute): number {
+  /** Lowest admission level of the services that the route calls; cached, since every response carries it. */
+  private downstreamLevel(route: CallRoute): number {
     const now = this.options.clock.now();
-    const known = this.levels.get(route.name);
-    if (known && now - known.at < LEVEL_HOLDS_MS) return known.level;
+    const cached = this.downstreamLevels.get(route.name);
+    if (cached && now - cached.at < DOWNSTREAM_LEVEL_CACHE_MS) return cached.level;
     const levels = this.options
-      .callsOf(route)
+      .downstreamCallsOf(route)
       .map(({ service, name }) => this.router.levelFor(service, name));
     const level = Math.min(Number.MAX_VALUE, ...levels);
-    this.levels.set(route.name, { at: now, level });
+    this.downstreamLevels.set(route.name, { at: now, level });
     return level;
   }
 }
 
-function proofsOf(freshness: Freshness): Proofs<Moment> {
+function freshnessProofs(freshness: Freshness): Proofs<Moment> {
   return {
     ageMs: () => freshness.ageMs,
     asking: () => freshness.moment(),
@@ -319,7 +329,7 @@
   };
 }
 
-function serving({ core }: { core?: Core }): Core {
+function requireCore({ core }: { core?: DaemonCore }): DaemonCore {
   if (core) return core;
   throw new Error('The daemon is still starting.');
 }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,4 +1,4 @@
-/** The daemon of our own interface: its parts wired together, and taken down in order. */
+/** The daemon for callers of the native interface: creates its components and disposes of them in order. */
 import {
   type CallRoute,
   Claims,
@@ -25,135 +25,135 @@
 import { writeHttpParserError } from './callerAnswer.js';
 import { callerGateway } from './callerGateway.js';
 import { logAdoption, logDoubt, logPeerFailure } from './adoptionLog.js';
-import { Core } from './core.js';
-import { type ReportedParts, addGauges, dumpOf, statusOf } from './daemonReport.js';
-import { Faults } from './faults.js';
+import { DaemonCore } from './core.js';
+import { type ReportSources, addDaemonGauges, daemonDump, daemonStatus } from './daemonReport.js';
+import { FaultHooks } from './faults.js';
 import { Metrics } from './metrics.js';
 import { operatorGateway } from './operatorGateway.js';
-import { addressOf, serverOf, startServers } from './httpListeners.js';
+import { listenAddress, serverOf, startServers } from './httpListeners.js';
 import { addOrganisationGauges } from './organisationGauges.js';
 import { OrganisationSide } from './organisationSide.js';
 import { addQuarantineGauges } from './quarantineGauges.js';
-import { quietBroker } from './quietBroker.js';
+import { createBroker } from './quietBroker.js';
 import { readersOf } from './readers.js';
 import { addUpstreamGauges } from './upstreamGauges.js';
 import { checkListening, checkSameVm } from './upstreamAddress.js';
 import { type UpstreamBounds, type Upstreams } from './upstreams.js';
 
-const DEFAULT_LIFETIME_MS = 600_000;
-/** How long callers on kept connections have to hear of the departure, ms. */
-const ANNOUNCED_MS = 500;
-const DRAIN_CHECK_MS = 20;
-/** How often our own upstreams announce themselves, ms. */
+const DEFAULT_REQUEST_ID_LIFETIME_MS = 600_000;
+/** Time in which callers on keep-alive connections learn of the shutdown before requests are refused, ms. */
+const SHUTDOWN_NOTICE_MS = 500;
+const DRAIN_POLL_MS = 20;
+/** Interval of the announcements of upstreams with native support, ms. */
 const HEARTBEAT_MS = 1000;
-/** Longest standing delay before there is a configuration, ms. */
-const DEFAULT_QUEUE_MS = 50;
-/** A daemon has heard of all others so long after its start, ms. */
-const JOINED_AFTER_MS = 3000;
-/** As many as an operators' file may have: what counts before there is one. */
-const MOST_CLASSES = 16;
+/** Upper bound of the queueing delay before there is a configuration, ms. */
+const DEFAULT_MAX_QUEUE_MS = 50;
+/** Time after the start at which a daemon is assumed to know all other members, ms. */
+const FLEET_DISCOVERY_MS = 3000;
+/** Upper bound of the priority classes in an operator file; applies until a configuration is active. */
+const MAX_CLASSES = 16;
 
-/** What a daemon is given from outside. */
-export interface DaemonParts {
+/** Dependencies of a daemon. */
+export interface DaemonOptions {
   readonly settings: ProcessSettings;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
 }
 
-/** One running daemon. */
+/** A running daemon. */
 export class Daemon implements AsyncDisposable {
   readonly metrics = new Metrics();
   readonly configuration: Configuration<CallGraph>;
-  private readonly faults = new Faults();
+  private readonly faultHooks = new FaultHooks();
   private readonly configurationLog: Logger;
   private readonly home: Home;
   private readonly broker: ServiceBroker;
-  private readonly turns: WorkTurns;
+  private readonly scheduler: WorkTurns;
   private readonly inFlight = new Set<Promise<unknown>>();
   private readonly store: HttpStore | undefined;
-  /** Made once the daemon listens for its peers. */
-  private core!: Core;
-  private entry!: Entry;
-  private spread!: ConfigurationSpread;
+  /** Set once the daemon listens for its peers. */
+  private core!: DaemonCore;
+  private ingress!: Entry;
+  private distribution!: ConfigurationSpread;
   private readonly organisations: OrganisationSide;
   private callerAddress = '';
-  private leaving: 'announced' | 'refusing' | undefined;
+  private shutdownPhase: 'announced' | 'refusing' | undefined;
 
-  private constructor(private readonly parts: DaemonParts) {
-    const { settings, clock, log } = parts;
+  private constructor(private readonly options: DaemonOptions) {
+    const { settings, clock, log } = options;
     this.configurationLog = log.child({ part: 'configuration' });
     this.configuration = new Configuration(
       clock,
       sections => new CallGraph(joinSections(sections)),
       adoption => {
         logAdoption(this.configurationLog, adoption);
-        this.adopted();
+        this.onConfigurationAdopted();
       },
     );
-    this.organisations = this.makeOrganisationSide();
+    this.organisations = this.createOrganisationServices();
     this.home = new Home(clock);
     this.store = settings.platform === undefined ? undefined : new HttpStore(settings.platform);
-    this.broker = quietBroker();
-    this.turns = new WorkTurns(clock, () => false);
+    this.broker = createBroker();
+    this.scheduler = new WorkTurns(clock, () => false);
   }
 
-  /** Starts a daemon that serves as soon as the promise resolves. */
-  static async start(parts: DaemonParts): Promise<Daemon> {
+  /** Starts a daemon, which serves requests once the promise resolves. */
+  static async start(parts: DaemonOptions): Promise<Daemon> {
     const daemon = new Daemon(parts);
     daemon.core = await daemon.startCore();
     daemon.organisations.join(daemon.membership);
-    daemon.entry = daemon.makeEntry();
-    daemon.spread = daemon.makeSpread();
-    addGauges(daemon.metrics, daemon.reported);
+    daemon.ingress = daemon.createIngress();
+    daemon.distribution = daemon.createDistribution();
+    addDaemonGauges(daemon.metrics, daemon.reportSources);
     addQuarantineGauges(daemon.metrics, daemon.core.quarantine);
     addOrganisationGauges(daemon.metrics, daemon.organisations);
     addUpstreamGauges(daemon.metrics, daemon.upstreams);
-    await daemon.serve();
+    await daemon.startListening();
     return daemon;
   }
 
-  /** This daemon's view of the fleet. */
+  /** This daemon's view of the fleet's members. */
   get membership(): Membership {
     return this.core.membership;
   }
 
-  /** The upstreams beside this daemon. */
+  /** The upstreams on the same VM. */
   get upstreams(): Upstreams {
     return this.core.upstreams;
   }
 
-  /** Where callers, peers and operators reach this daemon. */
+  /** Addresses for callers, peers and operators, ip:port. */
   get addresses(): { caller: string; inner: string; gossip: string; operator: string } {
     const { address, gossipAddress, operatorAddress } = this.membership.me;
     return { caller: this.callerAddress, inner: address, gossip: gossipAddress, operator: operatorAddress };
   }
 
-  /** Refuses new work here as not run, tells the fleet, and lets what is in flight end. */
+  /** Announces the shutdown to peers and callers, then refuses new requests as not run and waits for those in flight. */
   async drain(): Promise<void> {
-    const { clock, settings } = this.parts;
+    const { clock, settings } = this.options;
     this.upstreams.setDraining(true);
-    this.leaving = 'announced';
-    await clock.sleep(ANNOUNCED_MS);
-    this.leaving = 'refusing';
-    const end = clock.now() + settings.drainMs;
-    while (this.isBusy() && clock.now() < end) await clock.sleep(DRAIN_CHECK_MS);
+    this.shutdownPhase = 'announced';
+    await clock.sleep(SHUTDOWN_NOTICE_MS);
+    this.shutdownPhase = 'refusing';
+    const deadline = clock.now() + settings.drainMs;
+    while (this.isBusy() && clock.now() < deadline) await clock.sleep(DRAIN_POLL_MS);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.membership.leave();
     await this.broker.stop();
-    await this.spread[Symbol.asyncDispose]();
+    await this.distribution[Symbol.asyncDispose]();
     await this.organisations[Symbol.asyncDispose]();
     await this.core[Symbol.asyncDispose]();
     await this.store?.[Symbol.asyncDispose]();
   }
 
-  private startCore(): Promise<Core> {
-    const { settings, clock, random, log } = this.parts;
+  private startCore(): Promise<DaemonCore> {
+    const { settings, clock, random, log } = this.options;
     const graph = () => this.configuration.inForce;
-    return Core.start({
-      place: settings,
+    return DaemonCore.start({
+      settings,
       clock,
       random,
       log,
@@ -161,7 +161,7 @@
         protection: settings.protection,
         heartbeatMs: HEARTBEAT_MS,
         slowStart: true,
-        classes: () => graph()?.classes ?? MOST_CLASSES,
+        classes: () => graph()?.classes ?? MAX_CLASSES,
         bounds: service => this.boundsOf(service),
         checkAddress: async address => {
           checkSameVm(address, settings.ip);
@@ -172,34 +172,34 @@
       healthPath: () => undefined,
       dialect: ownDialect,
       retries: new RetryAllowance(),
-      freeMoves: 0,
-      signalsEndInTime: false,
+      freeReroutes: 0,
+      signalsEnforceDeadline: false,
       routeOf: head => graph()?.find(head.service, head.method, head.path),
-      callsOf: route => this.callsOf(route),
-      memoryMs: () => graph()?.file.requestIdLifetimeMs ?? DEFAULT_LIFETIME_MS,
-      isCut: address => this.faults.isCut(address),
-      turns: this.turns,
+      downstreamCallsOf: route => this.downstreamCallsOf(route),
+      attemptRetentionMs: () => graph()?.file.requestIdLifetimeMs ?? DEFAULT_REQUEST_ID_LIFETIME_MS,
+      isPartitioned: address => this.faultHooks.isPartitioned(address),
+      scheduler: this.scheduler,
       quarantineTable: NO_TABLE,
-      service: '',
-      atHome: (head, body, signal) => this.entry.handleAsHome(head, body, signal),
-      configuration: question => this.configuration.answer(question),
+      localService: '',
+      handleAsHome: (head, body, signal) => this.ingress.handleAsHome(head, body, signal),
+      answerConfiguration: request => this.configuration.answer(request),
       freshness: this.organisations.freshness,
       quotas: this.organisations.handlers,
-      onConfiguration: (heard, peer) => this.spread.heard(heard, peer),
+      onPeerConfiguration: (reported, peer) => this.distribution.heard(reported, peer),
     });
   }
 
   private boundsOf(service: string): UpstreamBounds {
     const declared = this.configuration.inForce?.file.services[service];
-    return { slots: declared?.slots, maxQueueMs: declared?.maxQueueMs ?? DEFAULT_QUEUE_MS };
+    return { slots: declared?.slots, maxQueueMs: declared?.maxQueueMs ?? DEFAULT_MAX_QUEUE_MS };
   }
 
-  private callsOf({ calls }: CallRoute): CallRoute[] {
+  private downstreamCallsOf({ calls }: CallRoute): CallRoute[] {
     return calls.flatMap(name => this.configuration.inForce?.get(name) ?? []);
   }
 
-  private makeEntry(): Entry {
-    const { clock } = this.parts;
+  private createIngress(): Entry {
+    const { clock } = this.options;
     const { core, home } = this;
     const epoch = () => core.membership.me.epoch;
     return new Entry({
@@ -215,20 +215,20 @@
       ids: new RequestIds(clock, core.self, epoch),
       claims: new Claims(clock, this.store),
       running: core.running,
-      journal: core.journal,
+      journal: core.decisionTrace,
       senders: this.organisations.senders,
-      quotaGate: this.organisations.gate(core.journal),
+      quotaGate: this.organisations.gate(core.decisionTrace),
     });
   }
 
-  private adopted(): void {
+  private onConfigurationAdopted(): void {
     this.core.membership.setConfiguration(this.configuration);
     this.organisations.adopted();
   }
 
-  /** It knows the fleet some time after it has joined. */
-  private makeOrganisationSide(): OrganisationSide {
-    const { settings, clock, random } = this.parts;
+  /** Quota shares are computed only once the daemon can be assumed to know the fleet. */
+  private createOrganisationServices(): OrganisationSide {
+    const { settings, clock, random } = this.options;
     const startedAt = clock.now();
     return new OrganisationSide({
       clock,
@@ -238,13 +238,13 @@
       revocationMs: settings.revocationMs,
       failureDomain: settings.failureDomain,
       division: { failureDomains: settings.failureDomains, slack: settings.quotaSlack },
-      knowsFleet: () => clock.now() - startedAt > JOINED_AFTER_MS,
+      knowsFleet: () => clock.now() - startedAt > FLEET_DISCOVERY_MS,
       log: (message, facts) => this.configurationLog.info(facts, `Configuration: ${message}`),
     });
   }
 
-  private makeSpread(): ConfigurationSpread {
-    const { settings, clock, random } = this.parts;
+  private createDistribution(): ConfigurationSpread {
+    const { settings, clock, random } = this.options;
     const { core } = this;
     return new ConfigurationSpread({
       clock,
@@ -256,24 +256,24 @@
       onReach: isReached => core.membership.setPlatformLost(!isReached),
       inOrder: holders => holders,
       patienceMs: () => 0,
-      fetch: (peer, question) => core.peers.fetchConfiguration(peer, question),
+      fetch: (peer, request) => core.peers.fetchConfiguration(peer, request),
       onPeerFailure: (peer, reason) => logPeerFailure(this.configurationLog, peer, reason),
       onDoubt: peer => logDoubt(this.configurationLog, this.configuration, peer),
     });
   }
 
-  private async serve(): Promise<void> {
-    const { settings } = this.parts;
+  private async startListening(): Promise<void> {
+    const { settings } = this.options;
     const callers = this.broker.createService(
       callerGateway({
         ip: settings.ip,
         port: settings.callerPort,
-        entry: this.entry,
+        ingress: this.ingress,
         metrics: this.metrics,
         needsKeys: () => this.organisations.needsKeys,
-        leaving: () => this.leaving,
-        turns: this.turns,
-        track: work => this.track(work),
+        shutdownPhase: () => this.shutdownPhase,
+        scheduler: this.scheduler,
+        trackInFlight: work => this.trackInFlight(work),
       }),
     );
     const operators = this.broker.createService(
@@ -282,27 +282,27 @@
         port: settings.operatorPort,
         upstreams: this.upstreams,
         metrics: this.metrics,
-        journal: this.core.journal,
+        decisionTrace: this.core.decisionTrace,
         quarantine: this.core.quarantine,
-        faults: settings.faultHooks ? this.faults : undefined,
+        faultHooks: settings.faultHooks ? this.faultHooks : undefined,
         isReady: () => this.configuration.generation > 0,
         organisations: () => this.organisations.counts.report,
-        status: () => statusOf(this.reported),
-        dump: () => dumpOf(this.reported),
+        status: () => daemonStatus(this.reportSources),
+        dump: () => daemonDump(this.reportSources),
         setDraining: draining => this.upstreams.setDraining(draining),
       }),
     );
     await startServers(this.broker, [serverOf(callers), serverOf(operators)]);
     const server = serverOf(callers);
     server.on('clientError', (error, socket) => writeHttpParserError(error, socket));
-    this.callerAddress = addressOf(settings.ip, server);
-    this.membership.setOperatorAddress(addressOf(settings.ip, serverOf(operators)));
+    this.callerAddress = listenAddress(settings.ip, server);
+    this.membership.setOperatorAddress(listenAddress(settings.ip, serverOf(operators)));
     this.membership.start();
-    this.spread.start();
+    this.distribution.start();
     this.organisations.start();
   }
 
-  private track<T>(work: Promise<T>): Promise<T> {
+  private trackInFlight<T>(work: Promise<T>): Promise<T> {
     this.inFlight.add(work);
     return work.finally(() => this.inFlight.delete(work));
   }
@@ -311,11 +311,11 @@
     return this.inFlight.size > 0 || this.core.running.size > 0 || this.home.runningCount > 0;
   }
 
-  private get reported(): ReportedParts {
-    const { settings } = this.parts;
-    const { addresses, configuration, spread, membership, upstreams, home, inFlight } = this;
-    const { router, tries, running, peers, quarantine } = this.core;
-    const parts = { settings, addresses, configuration, spread, membership, upstreams, router };
-    return { ...parts, home, tries, running, peers, quarantine, inFlight };
+  private get reportSources(): ReportSources {
+    const { settings } = this.options;
+    const { addresses, configuration, distribution, membership, upstreams, home, inFlight } = this;
+    const { router, attempts, running, peers, quarantine } = this.core;
+    const sources = { settings, addresses, configuration, distribution, membership, upstreams, router };
+    return { ...sources, home, attempts, running, peers, quarantine, inFlight };
   }
 }
--- a/packages/daemon/src/daemonReport.ts
+++ b/packages/daemon/src/daemonReport.ts
@@ -1,4 +1,4 @@
-/** What a daemon tells operators of itself: the dump, the status, and the gauges. */
+/** What a daemon reports to operators: the dump, the status and the gauges. */
 import { type Home, type Peers, type RunningCalls, type TryMemory } from '@cleatquay/calls';
 import { type Configuration, type ConfigurationSpread } from '@cleatquay/configuration';
 import { invariantViolations } from '@cleatquay/errors';
@@ -9,26 +9,26 @@
 import { type Metrics } from './metrics.js';
 import { type Upstreams } from './upstreams.js';
 
-/** The parts that a report reads. */
-export interface ReportedParts {
+/** The components whose state is reported. */
+export interface ReportSources {
   readonly settings: ProcessSettings;
   readonly addresses: object;
   readonly configuration: Configuration<CallGraph>;
-  readonly spread: ConfigurationSpread;
+  readonly distribution: ConfigurationSpread;
   readonly membership: Membership;
   readonly upstreams: Upstreams;
   readonly router: Router;
   readonly home: Home;
-  readonly tries: TryMemory;
+  readonly attempts: TryMemory;
   readonly running: RunningCalls;
   readonly peers: Peers;
   readonly quarantine: Quarantine;
-  /** Requests of callers in flight. */
+  /** Callers' requests in flight. */
   readonly inFlight: ReadonlySet<unknown>;
 }
 
-/** The whole state, for people. */
-export function dumpOf(parts: ReportedParts): object {
+/** The complete state, for troubleshooting. */
+export function daemonDump(parts: ReportSources): object {
   const { configuration, membership } = parts;
   return {
     addresses: parts.addresses,
@@ -38,7 +38,7 @@
       digest: configuration.digest,
       applyId: configuration.applyId,
       adoptedAt: configuration.adoptedAt,
-      spread: parts.spread.state,
+      spread: parts.distribution.state,
       file: configuration.inForce?.file,
     },
     upstreams: parts.upstreams.dump(),
@@ -47,7 +47,7 @@
       inFlight: parts.inFlight.size,
       runningHere: parts.running.size,
       rememberedIds: parts.home.size,
-      rememberedTries: parts.tries.size,
+      rememberedTries: parts.attempts.size,
       peers: parts.peers.addresses,
     },
     membership: membership.dump(),
@@ -56,15 +56,15 @@
   };
 }
 
-/** What `cleatquay status`, `members` and `routes` are made from. */
-export function statusOf({
+/** The data behind `cleatquay status`, `members` and `routes`. */
+export function daemonStatus({
   addresses,
   settings,
   configuration,
   upstreams,
   membership,
   quarantine,
-}: ReportedParts): object {
+}: ReportSources): object {
   return {
     ...addresses,
     failureDomain: settings.failureDomain,
@@ -84,9 +84,9 @@
   };
 }
 
-/** Gauges that are read when the metrics are asked for; docs/operators/observe.md lists them. */
-export function addGauges(metrics: Metrics, parts: ReportedParts): void {
-  const { configuration, spread, membership, upstreams, home, inFlight } = parts;
+/** Adds gauges that are evaluated on each scrape; docs/operators/observe.md lists them. */
+export function addDaemonGauges(metrics: Metrics, parts: ReportSources): void {
+  const { configuration, distribution: spread, membership, upstreams, home, inFlight } = parts;
   const { traffic, table } = membership;
   const gauge = (name: string, help: string, read: () => number) =>
     metrics.gauge(`cleatquay_${name}`, help, read);
--- a/packages/daemon/src/departures.ts
+++ b/packages/daemon/src/departures.ts
@@ -1,35 +1,36 @@
-/** Tells as early as possible that a caller has left. */
+/** Detects as early as possible that a caller has disconnected. */
 import { CALLER_LEFT, Cancellation } from '@cleatquay/clock';
 import { type IncomingMessage, type ServerResponse } from 'node:http';
 import { type Socket } from 'node:net';
 
-/** A connection of a caller. */
-interface Connection {
-  /** The request that is being served on it. */
+/** A caller's connection. */
+interface CallerConnection {
+  /** Cancellation of the request that is being served on it. */
   current: Cancellation | undefined;
 }
 
-const connections = new WeakMap<Socket, Connection>();
+const connections = new WeakMap<Socket, CallerConnection>();
 
 /**
- * Aborts when the caller leaves before its answer is finished. Node closes a response only a turn of the event loop after it has read
- * the end of the connection; a request that waits for that turn would be begun for nobody, so that the end itself is listened to.
+ * Aborts when the caller disconnects before its response is complete. Node emits the response's 'close' one event loop
+ * iteration after it has read the end of the connection. A request that is due in that iteration would be started for a
+ * disconnected caller, so the socket's 'end' is observed, too.
  */
-export function departureOf(request: IncomingMessage, response: ServerResponse): Cancellation {
-  const gone = new Cancellation();
+export function disconnectSignalOf(request: IncomingMessage, response: ServerResponse): Cancellation {
+  const disconnect = new Cancellation();
   const connection = connectionOf(request.socket);
-  connection.current = gone;
+  connection.current = disconnect;
   response.on('close', () => {
-    if (connection.current === gone) connection.current = undefined;
-    if (!response.writableFinished) gone.abort(CALLER_LEFT);
+    if (connection.current === disconnect) connection.current = undefined;
+    if (!response.writableFinished) disconnect.abort(CALLER_LEFT);
   });
-  return gone;
+  return disconnect;
 }
 
-function connectionOf(socket: Socket): Connection {
-  const known = connections.get(socket);
-  if (known) return known;
-  const connection: Connection = { current: undefined };
+function connectionOf(socket: Socket): CallerConnection {
+  const existing = connections.get(socket);
+  if (existing) return existing;
+  const connection: CallerConnection = { current: undefined };
   connections.set(socket, connection);
   socket.once('end', () => connection.current?.abort(CALLER_LEFT));
   return connection;
--- a/packages/daemon/src/faults.ts
+++ b/packages/daemon/src/faults.ts
@@ -1,16 +1,16 @@
-/** Hooks by which tests cut a daemon off; only with the `faultHooks` setting. */
+/** Fault injection for tests; available only with the `faultHooks` setting. */
 
-/** Addresses, of any kind, that this daemon neither sends to nor hears. */
-export class Faults {
-  private cut = new Set<string>();
+/** Simulates network partitions: addresses, of any protocol, with which this daemon exchanges nothing. */
+export class FaultHooks {
+  private partitioned = new Set<string>();
 
-  /** Replaces the list of addresses that are cut off. */
-  setCut(addresses: readonly string[]): void {
-    this.cut = new Set(addresses);
+  /** Replaces the list of partitioned addresses. */
+  setPartition(addresses: readonly string[]): void {
+    this.partitioned = new Set(addresses);
   }
 
-  /** Whether the address is cut off. */
-  isCut(address: string): boolean {
-    return this.cut.has(address);
+  /** Whether the address is partitioned from this daemon. */
+  isPartitioned(address: string): boolean {
+    return this.partitioned.has(address);
   }
 }
--- a/packages/daemon/src/httpListeners.ts
+++ b/packages/daemon/src/httpListeners.ts
@@ -1,4 +1,4 @@
-/** HTTP servers of a daemon that answer by themselves: moleculer-web listens and closes, and routes nothing. */
+/** HTTP servers of a daemon that handle requests without moleculer-web, which only starts and stops them. */
 import { Failure } from '@cleatquay/errors';
 import { splitAddress } from '@cleatquay/settings';
 import { type Service, type ServiceBroker } from 'moleculer';
@@ -7,7 +7,7 @@
 import { type AddressInfo } from 'node:net';
 import { gatewaySettings } from './gatewaySettings.js';
 
-/** A plain HTTP listener of an installation, beside that for callers. */
+/** An additional plain HTTP listener that a platform adapter defines. */
 export interface Listener {
   readonly name: string;
   /** ip:port */
@@ -15,25 +15,25 @@
   readonly handle: (request: IncomingMessage, response: ServerResponse) => void;
 }
 
-/** In place of the route that moleculer-web adds where there is none, and whose parser of bodies it would load. */
+/** Replaces the default route of moleculer-web, for which it would load its body parser. */
 const UNUSED_ROUTE = { path: '/', bodyParsers: false };
 
-interface Listening {
+interface BoundServer {
   readonly name: string;
   readonly ip: string;
   readonly server: Server;
 }
 
-/** The servers; they listen from the start of the broker until it stops. */
+/** A set of servers, which listen from the start of the broker until it stops. */
 export class HttpListeners {
-  private readonly listening: Listening[] = [];
+  private readonly bound: BoundServer[] = [];
 
   constructor(private readonly broker: ServiceBroker) {}
 
-  /** Adds a server that is to listen at `address`, ip:port. */
+  /** Adds a server that will listen at `address`, ip:port. */
   add(name: string, address: string, server: Server): void {
     const { ip, port } = splitAddress(address);
-    this.listening.push({ name, ip, server });
+    this.bound.push({ name, ip, server });
     this.broker.createService({
       name,
       mixins: [ApiGateway],
@@ -46,45 +46,44 @@
     });
   }
 
-  /** All of them. */
   get servers(): readonly Server[] {
-    return this.listening.map(({ server }) => server);
+    return this.bound.map(({ server }) => server);
   }
 
-  /** Where they listen, by name. */
+  /** Listen addresses by name, ip:port. */
   get addresses(): ReadonlyMap<string, string> {
-    return new Map(this.listening.map(({ name, ip, server }) => [name, addressOf(ip, server)]));
+    return new Map(this.bound.map(({ name, ip, server }) => [name, listenAddress(ip, server)]));
   }
 
-  /** Lets nobody in any more: a connection on which nothing is ever said would keep a server from closing. */
+  /** Accepts no further connections: one that never sends a request would keep a server from closing. */
   stopAccepting(): void {
-    for (const { server } of this.listening) server.close();
+    for (const { server } of this.bound) server.close();
   }
 
-  /** Closes what is open, whether it is in use or not. */
+  /** Closes all open connections, also those in use. */
   closeConnections(): void {
-    for (const { server } of this.listening) server.closeAllConnections();
+    for (const { server } of this.bound) server.closeAllConnections();
   }
 }
 
 /**
- * Starts the broker, and with it the servers of its services. Fails when one of them can't listen: moleculer-web only logs that, and the daemon would go
- * on half started, for good and without a word.
+ * Starts the broker and the servers of its services. Rejects if one of them can't listen: moleculer-web only logs that error,
+ * with a logger that is off here, so the daemon would stay partly started without any sign of it.
  */
 export async function startServers(broker: ServiceBroker, servers: readonly Server[]): Promise<void> {
-  const refused = new Promise<never>((_resolve, reject) => {
-    const refuse = ({ message }: Error) => reject(new Failure(`${message}.`, { result: 'addressTaken' }));
-    for (const server of servers) server.once('error', refuse);
+  const failed = new Promise<never>((_resolve, reject) => {
+    const fail = ({ message }: Error) => reject(new Failure(`${message}.`, { result: 'addressTaken' }));
+    for (const server of servers) server.once('error', fail);
   });
-  await Promise.race([broker.start(), refused]);
+  await Promise.race([broker.start(), failed]);
 }
 
-/** The HTTP server that moleculer-web made for a service. */
+/** The HTTP server that moleculer-web created for a service. */
 export function serverOf(service: Service): Server {
   return (service as Service & { server: Server }).server;
 }
 
-/** ip:port at which a server listens. */
-export function addressOf(ip: string, server: Server): string {
+/** Listen address of a server, ip:port. */
+export function listenAddress(ip: string, server: Server): string {
   return `${ip}:${String((server.address() as AddressInfo).port)}`;
 }
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,8 +1,8 @@
-/** The process beside each upstream. */
-export { type AnswerWriter } from './callerAnswer.js';
-export { Daemon, type DaemonParts } from './daemon.js';
+/** The daemon: the process that runs on the VM of each upstream and handles its calls. */
+export { type ResponseWriter } from './callerAnswer.js';
+export { Daemon, type DaemonOptions } from './daemon.js';
 export { type Listener } from './httpListeners.js';
-export { type Installation, RelayDaemon, type RelayDaemonParts } from './relayDaemon.js';
+export { type PlatformAdapter, RelayDaemon, type RelayDaemonOptions } from './relayDaemon.js';
 export { type CallerDialect, RelayGateway } from './relayGateway.js';
 export { PressureLog } from './pressureLog.js';
 export { type RelaySettings } from './relaySettings.js';
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,4 +1,4 @@
-/** The daemon as a process: settings, logs, signals, exit codes. */
+/** Entry point of the daemon process: settings, logs, signals, exit codes. */
 import { SystemClock, seededRandom } from '@cleatquay/clock';
 import { asFailure } from '@cleatquay/errors';
 import { loadProcessSettings } from '@cleatquay/settings';
@@ -7,25 +7,25 @@
 import { hideBin } from 'yargs/helpers';
 import { Daemon } from './daemon.js';
 
-/** 0: ended after a drain; 2: settings; 1: anything else. */
-const EXIT_SETTINGS = 2;
-const EXIT_OTHER = 1;
+/** Exit codes. A shutdown after a drain exits with 0. */
+const EXIT_INVALID_SETTINGS = 2;
+const EXIT_FAILURE = 1;
 
 const argv = await yargs(hideBin(process.argv))
   .scriptName('cleatquayd')
   .usage(
-    '$0 --settings FILE\n\nRuns the daemon beside an upstream. Flags and CLEATQUAY_* variables go before the file.',
+    '$0 --settings FILE\n\nRuns the daemon of an upstream. Flags and CLEATQUAY_* variables take precedence over the file.',
   )
   .env('CLEATQUAY')
   .options({
     settings: { type: 'string', describe: 'JSON file, see docs/operators/settings.md' },
-    ip: { type: 'string', describe: 'IP number of this VM' },
+    ip: { type: 'string', describe: 'IP address of this VM' },
     failureDomain: { type: 'string' },
     callerPort: { type: 'number' },
     innerPort: { type: 'number' },
     gossipPort: { type: 'number' },
     operatorPort: { type: 'number' },
-    seeds: { type: 'string', array: true, describe: 'gossip addresses to join by' },
+    seeds: { type: 'string', array: true, describe: 'gossip addresses of members to join through' },
     platform: { type: 'string', describe: 'URL of the platform' },
     logLevel: { type: 'string' },
     drainMs: { type: 'number' },
@@ -35,33 +35,34 @@
   .strict()
   .parse();
 
-/** The flags that were given; names as yargs also spells them with dashes are left out. */
-function givenFlags(): Record<string, unknown> {
+/** Options given as flags or variables, without the kebab-case aliases that yargs adds. */
+function givenOptions(): Record<string, unknown> {
   const skipped = ['settings', '_', '$0'];
   return Object.fromEntries(
     Object.entries(argv).filter(([key]) => !skipped.includes(key) && !key.includes('-')),
   );
 }
 
-function fail(error: unknown): never {
+function exitWithError(error: unknown): never {
   const failure = asFailure(error);
   process.stderr.write(`${failure.describe()}\n`);
-  process.exit(failure.row.code < 2000 ? EXIT_SETTINGS : EXIT_OTHER);
+  process.exit(failure.row.code < 2000 ? EXIT_INVALID_SETTINGS : EXIT_FAILURE);
 }
 
 try {
-  const settings = loadProcessSettings(argv.settings, givenFlags());
+  const settings = loadProcessSettings(argv.settings, givenOptions());
   const log = pino({ level: settings.logLevel, base: null });
   const daemon = await Daemon.start({ settings, clock: new SystemClock(), random: seededRandom(), log });
   log.info({ addresses: daemon.addresses }, 'Daemon: Ready for callers.');
-  const stop = async (signal: string) => {
-    log.info(`Daemon: ${signal} received. Draining.`);
+  const shutDown = async (signal: string) => {
+    log.info(`Daemon: Received ${signal}. Draining.`);
     await daemon.drain();
     await daemon[Symbol.asyncDispose]();
-    log.info('Daemon: Ended.');
+    log.info('Daemon: Stopped.');
     process.exit(0);
   };
-  for (const signal of ['SIGTERM', 'SIGINT']) process.once(signal, () => void stop(signal).catch(fail));
+  for (const signal of ['SIGTERM', 'SIGINT'])
+    process.once(signal, () => void shutDown(signal).catch(exitWithError));
 } catch (error) {
-  fail(error);
+  exitWithError(error);
 }
--- a/packages/daemon/src/metrics.ts
+++ b/packages/daemon/src/metrics.ts
@@ -1,14 +1,14 @@
-/** Metrics of one daemon, for Prometheus. */
+/** Prometheus metrics of a daemon. */
 import { resultByCode } from '@cleatquay/errors';
 import { type Refusal } from '@cleatquay/protocol';
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client';
 
-const LATENCY_BUCKETS = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30];
+const LATENCY_BUCKETS_SECONDS = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30];
 
-/** How often node looks at the delay of its event loop, ms; its own 10 ms wake an idle daemon a hundred times a second. */
+/** Sampling interval of node's event loop delay, ms; the default of 10 ms wakes an idle daemon 100 times a second. */
 const EVENT_LOOP_PRECISION_MS = 1000;
 
-/** The daemon's registry and what it counts. */
+/** The registry of a daemon, with its request counter and latency histogram. */
 export class Metrics {
   readonly registry = new Registry();
   private readonly requests = new Counter({
@@ -21,7 +21,7 @@
     name: 'cleatquay_request_seconds',
     help: 'Time from request to whole answer',
     labelNames: ['service'],
-    buckets: LATENCY_BUCKETS,
+    buckets: LATENCY_BUCKETS_SECONDS,
     registers: [this.registry],
   });
 
@@ -35,7 +35,7 @@
     });
   }
 
-  /** A gauge that is read when asked for. */
+  /** Adds a gauge that is evaluated on each scrape. */
   gauge(name: string, help: string, read: () => number): void {
     const gauge: Gauge = new Gauge({
       name,
@@ -45,7 +45,7 @@
     });
   }
 
-  /** A request came; call the result when it has ended. */
+  /** Starts to measure a request; the returned function is to be called when it has ended. */
   requestStarted(): (service: string, refusal: Refusal | undefined) => void {
     const start = performance.now();
     return (service, refusal) => {
@@ -56,7 +56,7 @@
     };
   }
 
-  /** Looking a child up by its labels costs more than counting; there are few, so that they are kept. */
+  /** Looking up a child by its labels costs more than counting; there are few children, so they are cached. */
   private latencyOf(service: string): Histogram.Internal<'service'> {
     let child = this.latencies.get(service);
     if (!child) this.latencies.set(service, (child = this.latency.labels(service)));
--- a/packages/daemon/src/operatorGateway.ts
+++ b/packages/daemon/src/operatorGateway.ts
@@ -1,42 +1,42 @@
-/** The operators' side: announcements, health, metrics, dump, members, drain, explanations. */
+/** The operator API: announcements, health, metrics, status, dump, drain, decision traces, quarantine, fault hooks. */
 import { type Journal } from '@cleatquay/calls';
 import { Failure, asFailure } from '@cleatquay/errors';
 import { type Quarantine } from '@cleatquay/quarantine';
 import { type Errors, type ServiceSchema } from 'moleculer';
 import ApiGateway from 'moleculer-web';
 import { type IncomingMessage, type ServerResponse } from 'node:http';
-import { type Faults } from './faults.js';
+import { type FaultHooks } from './faults.js';
 import { gatewaySettings } from './gatewaySettings.js';
 import { type Metrics } from './metrics.js';
 import { type Upstreams } from './upstreams.js';
 
 type BodyReader = (request: IncomingMessage, response: ServerResponse, next: () => void) => void;
-/** The body-parser that moleculer-web brings; its types don't mention it. */
+/** The body-parser module that moleculer-web exports without declaring it in its types. */
 const { bodyParser } = ApiGateway as unknown as {
   bodyParser: { json(options: { limit: string }): BodyReader };
 };
 
-/** What the gateway needs of its daemon. */
+/** Dependencies of the gateway. */
 export interface OperatorGatewayOptions {
   readonly ip: string;
   readonly port: number;
   readonly upstreams: Upstreams;
   readonly metrics: Metrics;
-  readonly journal: Journal;
+  readonly decisionTrace: Journal;
   readonly quarantine: Quarantine;
   /** Undefined unless the settings allow fault hooks. */
-  readonly faults: Faults | undefined;
+  readonly faultHooks: FaultHooks | undefined;
   readonly isReady: () => boolean;
   readonly status: () => object;
-  /** What each organisation sent to this daemon, and how that ended. */
+  /** Counts of the requests of each organisation to this daemon, by outcome. */
   readonly organisations: () => object;
   readonly dump: () => object;
   readonly setDraining: (draining: boolean) => void;
 }
 
-/** The moleculer service of the operators' side. */
+/** The moleculer service of the operator API. */
 export function operatorGateway(options: OperatorGatewayOptions): ServiceSchema {
-  const { upstreams, metrics, journal } = options;
+  const { upstreams, metrics, decisionTrace } = options;
   return {
     name: 'operators',
     mixins: [ApiGateway],
@@ -73,7 +73,8 @@
       status: () => options.status(),
       organisations: () => options.organisations(),
       dump: () => options.dump(),
-      explain: (context: { params: { id: string } }) => journal.find(decodeURIComponent(context.params.id)),
+      explain: (context: { params: { id: string } }) =>
+        decisionTrace.find(decodeURIComponent(context.params.id)),
       async announce(context: { params: unknown }) {
         await upstreams.announce(context.params);
         return {};
@@ -83,16 +84,16 @@
       release: (context: { params: { fingerprint: string } }) =>
         release(options.quarantine, context.params.fingerprint),
       faults: (context: { params: { cut?: string[] } }) => {
-        if (!options.faults)
-          throw new Failure('Fault hooks are off.', { result: 'settingsInvalid', field: 'faultHooks' });
-        options.faults.setCut(context.params.cut ?? []);
+        if (!options.faultHooks)
+          throw new Failure('Fault hooks are disabled.', { result: 'settingsInvalid', field: 'faultHooks' });
+        options.faultHooks.setPartition(context.params.cut ?? []);
         return {};
       },
     },
   };
 }
 
-/** Reads JSON bodies. The parser is loaded for the first of them: on most deployments a daemon never gets one. */
+/** Parses JSON bodies. The parser is created for the first body: in most deployments a daemon never receives one. */
 function jsonBodies(): BodyReader {
   let read: BodyReader | undefined;
   return (request, response, next) => {
@@ -108,7 +109,7 @@
 
 async function release(quarantine: Quarantine, fingerprint: string): Promise<object> {
   if (await quarantine.release(fingerprint)) return { released: fingerprint };
-  throw new Failure(`No request with the fingerprint "${fingerprint}" is held back.`, {
+  throw new Failure(`No request with the fingerprint "${fingerprint}" is quarantined.`, {
     result: 'notHeldBack',
     field: 'fingerprint',
   });
@@ -128,7 +129,7 @@
 
 function writeError(_request: IncomingMessage, response: ServerResponse, error: Errors.MoleculerError): void {
   const failure =
-    error.code === 404 ? new Failure('No such page.', { result: 'routeUnknown' }) : asFailure(error);
+    error.code === 404 ? new Failure('No such endpoint.', { result: 'routeUnknown' }) : asFailure(error);
   const { code, status, outcome, advice } = failure.row;
   response.writeHead(status, { 'content-type': 'application/json' });
   response.end(
--- a/packages/daemon/src/organisationGauges.ts
+++ b/packages/daemon/src/organisationGauges.ts
@@ -1,16 +1,19 @@
-/** Gauges of keys and quotas, read when the metrics are asked for; docs/operators/observe.md lists them. */
+/** Gauges of API keys and quotas, evaluated on each scrape; docs/operators/observe.md lists them. */
 import { type Freshness } from '@cleatquay/configuration';
 import { type Quotas } from '@cleatquay/organisations';
 import { type Metrics } from './metrics.js';
 
-/** The parts that the gauges read. */
-export interface OrganisationParts {
+/** The components that the gauges read. */
+export interface OrganisationGaugeSources {
   readonly freshness: Freshness;
   readonly quotas: Quotas;
 }
 
-/** Adds them. Their number doesn't depend on how many organisations there are. */
-export function addOrganisationGauges(metrics: Metrics, { freshness, quotas }: OrganisationParts): void {
+/** Adds the gauges. Their number doesn't depend on the number of organisations. */
+export function addOrganisationGauges(
+  metrics: Metrics,
+  { freshness, quotas }: OrganisationGaugeSources,
+): void {
   const gauge = (name: string, help: string, read: () => number) =>
     metrics.gauge(`cleatquay_${name}`, help, read);
   gauge('configuration_proof_age_ms', 'How long ago it was known to be the newest', () => freshness.ageMs);
--- a/packages/daemon/src/quarantineGauges.ts
+++ b/packages/daemon/src/quarantineGauges.ts
@@ -1,4 +1,4 @@
-/** What metrics tell of requests under which upstreams end. */
+/** Gauges of the quarantine of queries of death. */
 import { type Quarantine } from '@cleatquay/quarantine';
 import { type Metrics } from './metrics.js';
 
--- a/packages/daemon/src/quietBroker.ts
+++ b/packages/daemon/src/quietBroker.ts
@@ -1,17 +1,17 @@
-/** The moleculer broker of a daemon: the life cycle of its services inside one process, and nothing beyond it. */
+/** The moleculer broker of a daemon, which only manages the life cycle of the services in this process. */
 import { ServiceBroker } from 'moleculer';
 
-/** A broker without transporter, logs or metrics of its own. */
-export function quietBroker(): ServiceBroker {
+/** Creates a broker without transporter, logs or metrics. */
+export function createBroker(): ServiceBroker {
   return new ServiceBroker({
     nodeID: 'daemon',
     transporter: null,
     logger: false,
     metrics: false,
-    // Parameters are checked where they are read; moleculer's own validator takes 20 ms at the start.
+    // Parameters are validated by their handlers; moleculer's validator would add 20 ms to the start.
     validator: false,
     internalServices: false,
-    // Moleculer's own signal handlers would end the process before it has drained.
+    // Moleculer's signal handlers would exit the process before it has drained.
     skipProcessEventRegistration: true,
   });
 }
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -1,4 +1,4 @@
-/** The daemon for unchanged callers: the same core behind routes by host and path, with every daemon watching the source. */
+/** The daemon for unmodified callers: the same core, with routes by host and path, and with a platform as the configuration source. */
 import { ProcessorPressure } from '@cleatquay/admission';
 import {
   FleetRetryBudget,
@@ -27,12 +27,12 @@
 import { createServer } from 'node:http';
 import { type Logger } from 'pino';
 import { logAdoption, logDoubt, logPeerFailure } from './adoptionLog.js';
-import { Core } from './core.js';
+import { DaemonCore } from './core.js';
 import { takeOver } from './formerUpstreams.js';
-import { HttpListeners, type Listener, addressOf, serverOf, startServers } from './httpListeners.js';
+import { HttpListeners, type Listener, listenAddress, serverOf, startServers } from './httpListeners.js';
 import { Metrics } from './metrics.js';
 import { operatorGateway } from './operatorGateway.js';
-import { quietBroker } from './quietBroker.js';
+import { createBroker } from './quietBroker.js';
 import { type CallerDialect, RelayGateway } from './relayGateway.js';
 import { addQuarantineGauges } from './quarantineGauges.js';
 import { PressureLog } from './pressureLog.js';
@@ -40,99 +40,99 @@
 import { addOrganisationGauges } from './organisationGauges.js';
 import { OrganisationSide } from './organisationSide.js';
 import { addRelayGauges } from './relayGauges.js';
-import { type RelayReportParts, relayDump, relayStatus } from './relayReport.js';
+import { type RelayReportSources, relayDump, relayStatus } from './relayReport.js';
 import { type RelaySettings } from './relaySettings.js';
 import { addUpstreamGauges } from './upstreamGauges.js';
 import { type Announcement } from './announcement.js';
 import { type UpstreamBounds, type Upstreams } from './upstreams.js';
 
-/** How long tries that may run only once are remembered, ms: longer than any caller waits for one. */
-const MEMORY_MS = 60_000;
+/** How long records of non-idempotent attempts are kept, ms: longer than any caller waits for one. */
+const ATTEMPT_RETENTION_MS = 60_000;
 /**
- * Time after which the platform has seen twice that this daemon is not ready, ms: it asks every second. The own upstream
- * serves until then: what it stops sooner it would do without for longer, since the next process starts no earlier.
+ * Time until two of the platform's readiness checks, one per second, have failed, ms. The local upstream serves until then:
+ * draining it sooner would only lengthen its outage, since the next process starts no earlier.
  */
-const UNREADY_SEEN_MS = 2300;
-/** Calls in flight are looked at so often while the daemon ends, ms. */
-const DRAIN_CHECK_MS = 25;
-/** Time for the last answers to leave before connections are closed, ms. */
-const LAST_BYTES_MS = 100;
-/** A daemon that knows nobody after so long serves with what it has, ms. */
-const MEETING_PATIENCE_MS = 1500;
-/** Part of the grace in which the daemon ends by itself, before it is killed. */
-const GRACE_PART = 0.85;
-/** Longest standing delay of an upstream's queue, ms: a fifth of the shortest of the usual targets. */
-const QUEUE_MS = 50;
+const UNREADY_DETECTION_MS = 2300;
+/** Interval at which requests in flight are checked during the drain, ms. */
+const DRAIN_POLL_MS = 25;
+/** Time for the last responses to be sent before connections are closed, ms. */
+const RESPONSE_FLUSH_MS = 100;
+/** Time after which a daemon becomes ready even though it has discovered no peers, ms. */
+const DISCOVERY_TIMEOUT_MS = 1500;
+/** Ratio of the grace period that the drain may take; the rest is for closing before the process is killed. */
+const DRAIN_GRACE_RATIO = 0.85;
+/** Upper bound of the queueing delay at an upstream, ms: a fifth of the shortest usual target latency. */
+const MAX_QUEUE_MS = 50;
 
-/** What differs between installations. */
-export interface Installation {
+/** What a platform defines for its daemons: protocols of callers and upstreams, tables, configuration source, listeners. */
+export interface PlatformAdapter {
   readonly callers: CallerDialect;
   readonly upstreams: UpstreamDialect;
   readonly source: ConfigurationSource;
   readonly meeting: MeetingTable;
   readonly quarantine: QuarantineTable;
-  /** Reads the sections of a configuration. */
+  /** Parses the sections of a configuration. */
   readonly plan: (sections: Sections) => RoutePlan;
   readonly listeners: (daemon: RelayDaemon) => readonly Listener[];
 }
 
-/** What a daemon for unchanged callers is given from outside. */
-export interface RelayDaemonParts {
+/** Dependencies of a daemon for unmodified callers. */
+export interface RelayDaemonOptions {
   readonly settings: RelaySettings;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
-  readonly installation: Installation;
+  readonly installation: PlatformAdapter;
 }
 
-/** One running daemon for unchanged callers. */
+/** A running daemon for unmodified callers. */
 export class RelayDaemon implements AsyncDisposable {
   readonly metrics = new Metrics();
   readonly configuration: Configuration<HostRoutes>;
   private readonly organisations: OrganisationSide;
-  private readonly broker: ServiceBroker = quietBroker();
+  private readonly broker: ServiceBroker = createBroker();
   private readonly configurationLog: Logger;
   private readonly gateway: RelayGateway;
-  private readonly learned: LearnedCalls;
+  private readonly learnedCalls: LearnedCalls;
   readonly pressure: ProcessorPressure;
-  private readonly turns: WorkTurns;
-  /** Made once the daemon listens for its peers. */
-  private core!: Core;
-  private relay!: Relay;
+  private readonly scheduler: WorkTurns;
+  /** Set once the daemon listens for its peers. */
+  private core!: DaemonCore;
+  private ingress!: Relay;
   private readers!: Readers;
-  private meeting!: Meeting;
-  private watch!: ConfigurationWatch;
-  private spread!: ConfigurationSpread;
+  private discovery!: Meeting;
+  private watcher!: ConfigurationWatch;
+  private distribution!: ConfigurationSpread;
   private readonly listeners = new HttpListeners(this.broker);
   private inFlight = 0;
-  /** Importance classes of the configuration in force. */
-  private classes = 1;
-  private hasMet = false;
-  /** Whether it has read from the platform which daemons there are. */
-  private knowsFleet = false;
-  private leavingSince: number | undefined;
-  /** Clock time at which it stops waiting for what is in flight, ms; once it has stopped, the time at which it did. */
-  private endsAt = Number.POSITIVE_INFINITY;
+  /** Number of priority classes of the active configuration. */
+  private priorityClasses = 1;
+  private isDiscoveryDone = false;
+  /** Whether it has read the list of daemons from the platform. */
+  private hasFleetView = false;
+  private shutdownStartedAt: number | undefined;
+  /** Clock time at which it stops waiting for requests in flight, ms; after the drain, the time at which the drain ended. */
+  private drainDeadline = Number.POSITIVE_INFINITY;
 
-  private constructor(private readonly parts: RelayDaemonParts) {
-    const { settings, clock, random, log, installation } = parts;
+  private constructor(private readonly options: RelayDaemonOptions) {
+    const { settings, clock, random, log, installation } = options;
     this.configurationLog = log.child({ part: 'configuration' });
-    this.learned = new LearnedCalls(clock);
+    this.learnedCalls = new LearnedCalls(clock);
     const processorLog = log.child({ part: 'processor' });
     const pressureLog = new PressureLog(clock, (message, facts) =>
       processorLog.info(facts, `Processor: ${message}`),
     );
     this.pressure = new ProcessorPressure(
       clock,
-      () => this.classes,
-      () => this.turns.waitMs(),
+      () => this.priorityClasses,
+      () => this.scheduler.waitMs(),
       (lagMs, isLagging) => pressureLog.sampled(lagMs, isLagging),
     );
-    this.turns = new WorkTurns(clock, () => this.pressure.isLagging);
+    this.scheduler = new WorkTurns(clock, () => this.pressure.isLagging);
     this.configuration = new Configuration(
       clock,
       sections => new HostRoutes(installation.plan(sections), random, this.configuration.inForce),
-      adoption => this.adopted(adoption),
+      adoption => this.onConfigurationAdopted(adoption),
     );
     this.organisations = new OrganisationSide({
       clock,
@@ -142,41 +142,41 @@
       revocationMs: settings.revocationMs,
       failureDomain: settings.failureDomain,
       division: settings.quotas,
-      knowsFleet: () => this.knowsFleet,
+      knowsFleet: () => this.hasFleetView,
       log: (message, facts) => this.configurationLog.info(facts, `Configuration: ${message}`),
     });
     this.gateway = new RelayGateway({
-      relay: { handle: (...call) => this.relay.handle(...call) },
+      ingress: { handle: (...call) => this.ingress.handle(...call) },
       dialect: installation.callers,
       limits: () => this.configuration.inForce?.plan.limits,
       needsKeys: () => this.organisations.needsKeys,
-      isLeaving: () => this.leavingSince !== undefined,
-      turns: this.turns,
-      started: () => this.started(),
+      isShuttingDown: () => this.shutdownStartedAt !== undefined,
+      scheduler: this.scheduler,
+      onRequestStart: () => this.onRequestStart(),
     });
   }
 
-  /** Starts a daemon; it serves as soon as the promise resolves, and is ready once it knows a configuration. */
-  static async start(parts: RelayDaemonParts): Promise<RelayDaemon> {
+  /** Starts a daemon, which listens once the promise resolves, and is ready once a configuration is active. */
+  static async start(parts: RelayDaemonOptions): Promise<RelayDaemon> {
     const daemon = new RelayDaemon(parts);
     daemon.core = await daemon.startCore();
     daemon.organisations.join(daemon.membership);
-    daemon.relay = daemon.makeRelay();
+    daemon.ingress = daemon.createIngress();
     daemon.readers = new Readers(parts.clock, daemon.membership, parts.settings.failureDomain);
-    daemon.meeting = daemon.makeMeeting();
-    daemon.watch = daemon.makeWatch();
-    daemon.spread = daemon.makeSpread();
+    daemon.discovery = daemon.createDiscovery();
+    daemon.watcher = daemon.createWatcher();
+    daemon.distribution = daemon.createDistribution();
     addQuarantineGauges(daemon.metrics, daemon.core.quarantine);
     addRelayGauges(daemon.metrics, daemon);
     addOrganisationGauges(daemon.metrics, daemon.organisations);
     addUpstreamGauges(daemon.metrics, daemon.upstreams);
-    await daemon.serve();
+    await daemon.startListening();
     return daemon;
   }
 
-  /** Whether callers should come here. */
+  /** Whether callers should use this daemon. */
   get isReady(): boolean {
-    return this.leavingSince === undefined && this.configuration.generation > 0 && this.hasMet;
+    return this.shutdownStartedAt === undefined && this.configuration.generation > 0 && this.isDiscoveryDone;
   }
 
   get membership(): Membership {
@@ -191,16 +191,16 @@
     return this.core.quarantine;
   }
 
-  /** Where its listeners are, by name. */
+  /** Listen addresses by name, ip:port. */
   get addresses(): ReadonlyMap<string, string> {
     return this.listeners.addresses;
   }
 
-  /** An upstream announces itself; one that is new is recorded, so that a restart of this daemon knows it at once. */
+  /** Handles an upstream's announcement. A new upstream is recorded, so that this daemon knows it right after a restart. */
   async announce(announcement: Announcement): Promise<void> {
     const { service, instanceId, born } = announcement;
-    if (!this.isService(service))
-      throw new Failure(`No service is called "${service}".`, {
+    if (!this.isKnownService(service))
+      throw new Failure(`No service is named "${service}".`, {
         result: 'announcementInvalid',
         field: 'service',
       });
@@ -208,64 +208,64 @@
       this.upstreams.known.some(known => known.instanceId === instanceId && known.born === born);
     const wasKnown = isKnown();
     await this.upstreams.announce(announcement);
-    if (!wasKnown && isKnown()) void this.meeting.record();
+    if (!wasKnown && isKnown()) void this.discovery.record();
   }
 
-  /** A service of the configuration in force; any while there is none. */
-  private isService(name: string): boolean {
+  /** Whether the active configuration or the settings name the service; true while there is no configuration. */
+  private isKnownService(name: string): boolean {
     const routes = this.configuration.inForce;
     return (
-      routes?.service(name) !== undefined || routes === undefined || name === this.parts.settings.service
+      routes?.service(name) !== undefined || routes === undefined || name === this.options.settings.service
     );
   }
 
-  /** An upstream says that it leaves: recorded, so that a restart of this daemon doesn't forget it. */
+  /** Handles an upstream's report that it is shutting down. It is recorded, so that a restart of this daemon preserves it. */
   async leave(instanceId: string, born?: number): Promise<void> {
     const isNew = this.upstreams.leave(instanceId, born);
-    if (isNew) await this.meeting.record();
+    if (isNew) await this.discovery.record();
   }
 
-  /** Sends callers elsewhere, and lets what is in flight end, within the grace. */
+  /** Fails the readiness check, and waits for requests in flight within the grace period. */
   async drain(): Promise<void> {
-    const { clock, settings } = this.parts;
-    const start = clock.now();
-    this.leavingSince = start;
-    this.endsAt = start + settings.graceMs * GRACE_PART;
-    await clock.sleep(Math.min(UNREADY_SEEN_MS, settings.graceMs / 2));
+    const { clock, settings } = this.options;
+    const startedAt = clock.now();
+    this.shutdownStartedAt = startedAt;
+    this.drainDeadline = startedAt + settings.graceMs * DRAIN_GRACE_RATIO;
+    await clock.sleep(Math.min(UNREADY_DETECTION_MS, settings.graceMs / 2));
     this.upstreams.setDraining(true);
-    while (!this.isIdle() && clock.now() < this.endsAt) await clock.sleep(DRAIN_CHECK_MS);
-    // From here on nothing is taken any more: callers keep using open connections until these are closed.
-    this.endsAt = Math.min(this.endsAt, clock.now());
-    this.logEnd('Daemon: Waits no longer for what is in flight.');
+    while (!this.isIdle() && clock.now() < this.drainDeadline) await clock.sleep(DRAIN_POLL_MS);
+    // From here on new requests are refused: callers keep using open connections until these are closed.
+    this.drainDeadline = Math.min(this.drainDeadline, clock.now());
+    this.logShutdown('Daemon: Stopped waiting for requests in flight.');
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.membership.leave();
     this.pressure[Symbol.dispose]();
     this.listeners.stopAccepting();
-    await this.parts.clock.sleep(LAST_BYTES_MS);
-    this.logEnd('Daemon: Closes the connections of its callers.');
-    // What is still in flight has had its grace; a server that closes would wait for it.
+    await this.options.clock.sleep(RESPONSE_FLUSH_MS);
+    this.logShutdown('Daemon: Closing the connections of callers.');
+    // Requests still in flight have used up the grace period; a server that closes would wait for them.
     this.listeners.closeConnections();
     await this.broker.stop();
-    await this.watch[Symbol.asyncDispose]();
+    await this.watcher[Symbol.asyncDispose]();
     await this.organisations[Symbol.asyncDispose]();
-    await this.meeting[Symbol.asyncDispose]();
-    await this.spread[Symbol.asyncDispose]();
+    await this.discovery[Symbol.asyncDispose]();
+    await this.distribution[Symbol.asyncDispose]();
     await this.core[Symbol.asyncDispose]();
   }
 
-  private logEnd(message: string): void {
-    const { clock, log } = this.parts;
-    const leavingForMs = Math.round(clock.now() - (this.leavingSince ?? clock.now()));
+  private logShutdown(message: string): void {
+    const { clock, log } = this.options;
+    const leavingForMs = Math.round(clock.now() - (this.shutdownStartedAt ?? clock.now()));
     log.info({ leavingForMs, inFlight: this.inFlight, running: this.core.running.size }, message);
   }
 
-  private startCore(): Promise<Core> {
-    const { settings, clock, random, log, installation } = this.parts;
+  private startCore(): Promise<DaemonCore> {
+    const { settings, clock, random, log, installation } = this.options;
     const { retries } = settings;
-    return Core.start({
-      place: settings,
+    return DaemonCore.start({
+      settings,
       clock,
       random,
       log,
@@ -273,49 +273,49 @@
         protection: true,
         heartbeatMs: settings.heartbeatMs,
         slowStart: false,
-        classes: () => this.classes,
+        classes: () => this.priorityClasses,
         bounds: service => this.boundsOf(service),
         checkAddress: () => Promise.resolve(),
-        onDeparture: () => void this.meeting.record(),
+        onDeparture: () => void this.discovery.record(),
       },
       healthPath: service => this.healthPathOf(service),
       dialect: installation.upstreams,
       retries: new FleetRetryBudget(clock, retries, () => this.membership.aliveCount() + 1),
-      freeMoves: 3,
-      signalsEndInTime: true,
+      freeReroutes: 3,
+      signalsEnforceDeadline: true,
       routeOf: routeOfHead,
-      callsOf: ({ name }) => this.learned.of(name),
-      memoryMs: () => MEMORY_MS,
-      isCut: () => false,
-      turns: this.turns,
+      downstreamCallsOf: ({ name }) => this.learnedCalls.of(name),
+      attemptRetentionMs: () => ATTEMPT_RETENTION_MS,
+      isPartitioned: () => false,
+      scheduler: this.scheduler,
       quarantineTable: installation.quarantine,
-      service: settings.service,
-      atHome: () => {
-        const refusal = refusalOf('innerMessageInvalid', 'This daemon issues no request ids.');
+      localService: settings.service,
+      handleAsHome: () => {
+        const refusal = refusalOf('innerMessageInvalid', 'This daemon does not issue request ids.');
         return Promise.resolve(answerOf(endOf(refusal, 0)));
       },
-      configuration: question => this.configuration.answer(question),
+      answerConfiguration: request => this.configuration.answer(request),
       freshness: this.organisations.freshness,
       quotas: this.organisations.handlers,
-      onConfiguration: (heard, peer) => this.spread.heard(heard, peer),
+      onPeerConfiguration: (reported, peer) => this.distribution.heard(reported, peer),
     });
   }
 
-  private makeRelay(): Relay {
-    const { settings, clock, random } = this.parts;
+  private createIngress(): Relay {
+    const { settings, clock, random } = this.options;
     return new Relay({
       clock,
       routes: () => this.configuration.inForce,
       configuration: this.configuration,
-      journal: this.core.journal,
+      journal: this.core.decisionTrace,
       forwarder: this.core.forwarder,
       originService: settings.service,
       running: this.core.running,
-      learned: this.learned,
+      learned: this.learnedCalls,
       senders: this.organisations.senders,
-      quotaGate: this.organisations.gate(this.core.journal),
+      quotaGate: this.organisations.gate(this.core.decisionTrace),
       pressureLevel: () => this.pressure.level,
-      timeLeftMs: () => this.endsAt - clock.now(),
+      timeLeftMs: () => this.drainDeadline - clock.now(),
       random,
     });
   }
@@ -324,7 +324,7 @@
     const routes = this.configuration.inForce;
     return {
       connections: routes?.service(service)?.connections,
-      maxQueueMs: QUEUE_MS,
+      maxQueueMs: MAX_QUEUE_MS,
     };
   }
 
@@ -332,9 +332,9 @@
     return this.configuration.inForce?.service(service)?.healthPath;
   }
 
-  private makeMeeting(): Meeting {
-    const { clock, random, log, installation } = this.parts;
-    const meetingLog = log.child({ part: 'meeting' });
+  private createDiscovery(): Meeting {
+    const { clock, random, log, installation } = this.options;
+    const discoveryLog = log.child({ part: 'meeting' });
     return new Meeting({
       clock,
       random,
@@ -342,14 +342,14 @@
       membership: this.membership,
       isTender: () => this.readers.isReader,
       kept: () => ({ departures: this.upstreams.departures, upstreams: this.upstreams.known }),
-      onFormer: former => this.takeFormer(former),
-      log: (message, facts) => meetingLog.info(facts, `Meeting: ${message}`),
+      onFormer: recorded => this.restoreUpstreams(recorded),
+      log: (message, facts) => discoveryLog.info(facts, `Meeting: ${message}`),
     });
   }
 
-  /** Takes over what an earlier process recorded. */
-  private takeFormer({ departures, upstreams }: KeptState): void {
-    const { settings, clock, log, installation } = this.parts;
+  /** Restores the upstreams and shutdowns that an earlier process of this daemon recorded. */
+  private restoreUpstreams({ departures, upstreams }: KeptState): void {
+    const { settings, clock, log, installation } = this.options;
     for (const { instanceId, born } of departures) this.upstreams.leave(instanceId, born);
     void takeOver(upstreams, {
       clock,
@@ -363,8 +363,8 @@
     });
   }
 
-  private makeWatch(): ConfigurationWatch {
-    const { clock, installation } = this.parts;
+  private createWatcher(): ConfigurationWatch {
+    const { clock, installation } = this.options;
     return new ConfigurationWatch({
       clock,
       configuration: this.configuration,
@@ -383,8 +383,8 @@
     });
   }
 
-  private makeSpread(): ConfigurationSpread {
-    const { clock, random } = this.parts;
+  private createDistribution(): ConfigurationSpread {
+    const { clock, random } = this.options;
     return new ConfigurationSpread({
       clock,
       random,
@@ -394,18 +394,18 @@
       isReader: () => false,
       onReach: () => undefined,
       patienceMs: peer => this.readers.patienceMs(peer),
-      fetch: (peer, question) => this.core.peers.fetchConfiguration(peer, question),
+      fetch: (peer, request) => this.core.peers.fetchConfiguration(peer, request),
       inOrder: holders => this.readers.inOrder(holders),
       onPeerFailure: (peer, reason) => logPeerFailure(this.configurationLog, peer, reason),
       onDoubt: peer => {
         logDoubt(this.configurationLog, this.configuration, peer);
-        this.watch.doubt();
+        this.watcher.doubt();
       },
     });
   }
 
-  private async serve(): Promise<void> {
-    const { settings, clock, installation } = this.parts;
+  private async startListening(): Promise<void> {
+    const { settings, clock, installation } = this.options;
     this.core.quarantine.start();
     this.listeners.add('callers', settings.callers, this.gateway.server);
     for (const { name, address, handle } of installation.listeners(this))
@@ -416,40 +416,42 @@
         port: settings.operatorPort,
         upstreams: this.upstreams,
         metrics: this.metrics,
-        journal: this.core.journal,
+        decisionTrace: this.core.decisionTrace,
         quarantine: this.core.quarantine,
-        faults: undefined,
+        faultHooks: undefined,
         isReady: () => this.isReady,
         organisations: () => this.organisations.counts.report,
-        status: () => relayStatus(this.reported),
-        dump: () => relayDump(this.reported),
+        status: () => relayStatus(this.reportSources),
+        dump: () => relayDump(this.reportSources),
         setDraining: draining => this.upstreams.setDraining(draining),
       }),
     );
     await startServers(this.broker, [...this.listeners.servers, serverOf(operators)]);
-    this.membership.setOperatorAddress(addressOf(settings.ip, serverOf(operators)));
+    this.membership.setOperatorAddress(listenAddress(settings.ip, serverOf(operators)));
     this.membership.start();
-    this.watch.start();
+    this.watcher.start();
     this.organisations.start();
-    this.meeting.start();
-    void this.meeting.met.then(() => (this.knowsFleet = true));
-    void Promise.race([this.meeting.met, clock.sleep(MEETING_PATIENCE_MS)]).then(() => (this.hasMet = true));
+    this.discovery.start();
+    void this.discovery.met.then(() => (this.hasFleetView = true));
+    void Promise.race([this.discovery.met, clock.sleep(DISCOVERY_TIMEOUT_MS)]).then(
+      () => (this.isDiscoveryDone = true),
+    );
   }
 
-  private adopted(adoption: Adoption): void {
+  private onConfigurationAdopted(adoption: Adoption): void {
     logAdoption(this.configurationLog, adoption);
-    this.classes = this.configuration.inForce?.classes ?? 1;
+    this.priorityClasses = this.configuration.inForce?.classes ?? 1;
     this.core.membership.setConfiguration(this.configuration);
-    this.gateway.applyConfiguration();
+    this.gateway.adoptConfiguration();
     this.organisations.adopted();
   }
 
-  private started(): (refusal: Refusal | undefined) => void {
+  private onRequestStart(): (refusal: Refusal | undefined) => void {
     this.inFlight++;
-    const end = this.metrics.requestStarted();
+    const recordEnd = this.metrics.requestStarted();
     return refusal => {
       this.inFlight--;
-      end(this.parts.settings.service, refusal);
+      recordEnd(this.options.settings.service, refusal);
     };
   }
 
@@ -457,10 +459,10 @@
     return this.inFlight === 0 && this.core.running.size === 0;
   }
 
-  private get reported(): RelayReportParts {
+  private get reportSources(): RelayReportSources {
     const { configuration, membership, upstreams } = this;
-    const { router, running, tries, quarantine } = this.core;
-    const parts = { configuration, membership, upstreams, router, running, tries, quarantine };
-    return { ...parts, inFlight: this.inFlight, freshness: this.organisations.freshness };
+    const { router, running, attempts, quarantine } = this.core;
+    const sources = { configuration, membership, upstreams, router, running, attempts, quarantine };
+    return { ...sources, inFlight: this.inFlight, freshness: this.organisations.freshness };
   }
 }
--- a/packages/daemon/src/relayGateway.ts
+++ b/packages/daemon/src/relayGateway.ts
@@ -1,4 +1,4 @@
-/** The side of unchanged callers: an HTTP server that hands every request to the relay. */
+/** The API for unmodified callers: an HTTP server that passes every request to the ingress. */
 import {
   type CallBody,
   EMPTY_BODY,
@@ -12,95 +12,104 @@
 import { type Credentials, credentialsIn } from '@cleatquay/organisations';
 import { type RouteLimits } from '@cleatquay/routes';
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
-import { type AnswerWriter, CALLER_GONE, writeAnswer, writeHttpParserError } from './callerAnswer.js';
-import { departureOf } from './departures.js';
+import {
+  type ResponseWriter,
+  DISCONNECT_REFUSAL,
+  writeResponse,
+  writeHttpParserError,
+} from './callerAnswer.js';
+import { disconnectSignalOf } from './departures.js';
 
-/** Header bytes that node reads at most; the configuration's own limit lies below. */
-const MOST_HEADER_BYTES = 65_536;
-/** Bounds before there is a configuration. */
-const FIRST_LIMITS: RouteLimits = {
+/** Upper bound of header bytes in node's parser; the limit of the configuration is lower. */
+const MAX_HEADER_BYTES = 65_536;
+/** Limits until a configuration is active. */
+const DEFAULT_LIMITS: RouteLimits = {
   headerBytes: 16_384,
   bodyBytes: 1_048_576,
   headerTimeoutMs: 5000,
   idleTimeoutMs: 15_000,
 };
 
-/** How unchanged callers mark their requests, and are told when to come back. */
+/** The headers by which unmodified callers describe their requests, and the form of responses to them. */
 export interface CallerDialect {
-  /** The caller's id of this attempt; empty if it gives none. */
+  /** The caller's id of this attempt; empty if the request has none. */
   readonly requestId: (request: IncomingMessage) => string;
-  /** Id of the request that this one would be a call for, as its own id tells; undefined if it tells of none. */
+  /** Id of the parent request as encoded in a request id; undefined if it encodes none. */
   readonly parentId: (requestId: string) => string | undefined;
-  /** Time that the caller will wait, ms; fails for what is no time. */
+  /** Time that the caller will wait, ms; throws if the header is not a valid duration. */
   readonly remainingMs: (request: IncomingMessage) => number | undefined;
-  /** Names, in lower case, of headers that are not passed on as they came. */
+  /** Lower-case names of headers that are not forwarded unchanged. */
   readonly consumed: ReadonlySet<string>;
-  /** Name, in lower case, of the header that bears the caller's key, where requests need one. */
+  /** Lower-case name of the header that carries the caller's API key, if requests need one. */
   readonly credentials: string;
-  readonly writer: AnswerWriter;
+  readonly writer: ResponseWriter;
 }
 
-/** What the gateway needs of its daemon. */
+/** Dependencies of the gateway. */
 export interface RelayGatewayOptions {
-  readonly relay: Pick<Relay, 'handle'>;
+  readonly ingress: Pick<Relay, 'handle'>;
   readonly dialect: CallerDialect;
   readonly limits: () => RouteLimits | undefined;
-  /** Whether requests need keys. */
+  /** Whether requests have to carry an API key. */
   readonly needsKeys: () => boolean;
-  readonly isLeaving: () => boolean;
-  readonly turns: WorkTurns;
-  /** Told of each request; the result is to be called when it has ended. */
-  readonly started: () => (refusal: Refusal | undefined) => void;
+  readonly isShuttingDown: () => boolean;
+  readonly scheduler: WorkTurns;
+  /** Called at the start of each request; the function that it returns is called when the request has ended. */
+  readonly onRequestStart: () => (refusal: Refusal | undefined) => void;
 }
 
-/** An HTTP server for callers; `applyConfiguration` takes over what a new configuration says. */
+/** An HTTP server for callers; `adoptConfiguration` is to be called after each change of the active configuration. */
 export class RelayGateway {
   readonly server: Server;
   private readonly consumedWithKeys: ReadonlySet<string>;
-  private hasNeededKeys = false;
+  private hasEverNeededKeys = false;
 
   constructor(private readonly options: RelayGatewayOptions) {
     const { consumed, credentials } = options.dialect;
     this.consumedWithKeys = new Set([...consumed, credentials]);
     this.server = createServer(
-      { maxHeaderSize: MOST_HEADER_BYTES, requestTimeout: 0 },
+      { maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 },
       (request, response) => {
         void this.serve(request, response);
       },
     );
     this.server.on('clientError', (error, socket) => writeHttpParserError(error, socket));
-    this.applyConfiguration();
+    this.adoptConfiguration();
   }
 
-  /** Puts a new configuration in force: time limits for connections from now on, and whether headers bear keys. */
-  applyConfiguration(): void {
-    this.hasNeededKeys ||= this.options.needsKeys();
+  /** Updates what depends on the active configuration: timeouts of new connections, and whether headers carry API keys. */
+  adoptConfiguration(): void {
+    this.hasEverNeededKeys ||= this.options.needsKeys();
     const { headerTimeoutMs, idleTimeoutMs } = this.limits;
     this.server.headersTimeout = headerTimeoutMs;
     this.server.keepAliveTimeout = idleTimeoutMs;
   }
 
   private get limits(): RouteLimits {
-    return this.options.limits() ?? FIRST_LIMITS;
+    return this.options.limits() ?? DEFAULT_LIMITS;
   }
 
-  /** One request, from its header to the end of its answer. */
+  /** Serves a request from its headers to the end of its response. */
   private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const { relay, dialect, turns, isLeaving, started } = this.options;
-    const gone = departureOf(request, response);
-    const ended = started();
+    const { ingress, dialect, scheduler, isShuttingDown, onRequestStart } = this.options;
+    const disconnect = disconnectSignalOf(request, response);
+    const onRequestEnd = onRequestStart();
     let refusal: Refusal | undefined;
-    // In flight until the last byte has left: a daemon that ends closes its connections once nothing is.
-    response.on('close', () => ended(response.writableFinished ? refusal : CALLER_GONE));
-    if (isLeaving()) response.setHeader('connection', 'close');
+    // In flight until the last byte is sent: a daemon that shuts down closes its connections once no request is in flight.
+    response.on('close', () => onRequestEnd(response.writableFinished ? refusal : DISCONNECT_REFUSAL));
+    if (isShuttingDown()) response.setHeader('connection', 'close');
     try {
-      const turn = turns.take();
-      const waitedMs = turn ? await turn : 0;
-      if (gone.aborted) return;
-      const answer = await relay.handle(this.read(request, waitedMs), this.bodyOf(request), gone.signal);
-      // Most answers are a single part, whose response may close before the next line resolves.
-      refusal = answer.first.refusal;
-      refusal = await writeAnswer(response, answer, dialect.writer);
+      const wait = scheduler.take();
+      const waitedMs = wait ? await wait : 0;
+      if (disconnect.aborted) return;
+      const callResponse = await ingress.handle(
+        this.parseRequest(request, waitedMs),
+        this.bodyOf(request),
+        disconnect.signal,
+      );
+      // Most responses have a single part, and may close before the next line resolves.
+      refusal = callResponse.first.refusal;
+      refusal = await writeResponse(response, callResponse, dialect.writer);
     } catch (error) {
       const failure = asFailure(error);
       refusal = refusalOf(failure.result, failure.describe());
@@ -109,13 +118,13 @@
     }
   }
 
-  /** What it asks, now that it has waited here for so long, ms. */
-  private read(request: IncomingMessage, waitedMs: number): RelayedRequest {
+  /** Parses a request that has been queued here for `waitedMs`. */
+  private parseRequest(request: IncomingMessage, waitedMs: number): RelayedRequest {
     const { dialect } = this.options;
     const remainingMs = dialect.remainingMs(request);
     const requestId = dialect.requestId(request);
     if (requestId === '')
-      throw new Failure('Expected an id of the request.', { result: 'headerInvalid', field: 'request id' });
+      throw new Failure('Expected a request id.', { result: 'headerInvalid', field: 'request id' });
     return {
       host: request.headers.host ?? '',
       method: request.method ?? 'GET',
@@ -129,11 +138,11 @@
   }
 
   /**
-   * Callers go on sending their keys when a configuration needs none any more: a header that once bore keys isn't passed on for as long as this
-   * process lives.
+   * Callers keep sending their keys after a configuration that no longer needs them. A header that has carried keys is
+   * therefore never forwarded again for the lifetime of this process.
    */
   private consumed(): ReadonlySet<string> {
-    return this.hasNeededKeys ? this.consumedWithKeys : this.options.dialect.consumed;
+    return this.hasEverNeededKeys ? this.consumedWithKeys : this.options.dialect.consumed;
   }
 
   private credentialsOf({ rawHeaders }: IncomingMessage): Credentials {
@@ -144,20 +153,20 @@
   private bodyOf(request: IncomingMessage): CallBody {
     const { 'content-length': length, 'transfer-encoding': encoding } = request.headers;
     if (length === undefined && encoding === undefined) return EMPTY_BODY;
-    if (Number(length ?? 0) > this.limits.bodyBytes) throw tooLarge(this.limits);
-    return encoding === undefined ? request : bounded(request, this.limits);
+    if (Number(length ?? 0) > this.limits.bodyBytes) throw bodyTooLarge(this.limits);
+    return encoding === undefined ? request : limitBody(request, this.limits);
   }
 }
 
-async function* bounded(request: IncomingMessage, limits: RouteLimits): AsyncIterable<Uint8Array> {
+async function* limitBody(request: IncomingMessage, limits: RouteLimits): AsyncIterable<Uint8Array> {
   let bytes = 0;
   for await (const chunk of request as AsyncIterable<Buffer>) {
     bytes += chunk.length;
-    if (bytes > limits.bodyBytes) throw tooLarge(limits);
+    if (bytes > limits.bodyBytes) throw bodyTooLarge(limits);
     yield chunk;
   }
 }
 
-function tooLarge({ bodyBytes }: RouteLimits): Failure {
+function bodyTooLarge({ bodyBytes }: RouteLimits): Failure {
   return new Failure(`Expected a body of at most ${String(bodyBytes)} bytes.`, { result: 'requestTooLarge' });
 }
--- a/packages/daemon/src/relayGauges.ts
+++ b/packages/daemon/src/relayGauges.ts
@@ -1,16 +1,16 @@
-/** Gauges of a daemon for unchanged callers, read when the metrics are asked for; docs/operators/observe.md lists them. */
+/** Gauges of a daemon for unmodified callers, evaluated on each scrape; docs/operators/observe.md lists them. */
 import { type ProcessorPressure } from '@cleatquay/admission';
 import { type Configuration } from '@cleatquay/configuration';
 import { type Metrics } from './metrics.js';
 
-/** The parts that the gauges read. */
-export interface GaugedParts {
+/** The components that the gauges read. */
+export interface RelayGaugeSources {
   readonly pressure: ProcessorPressure;
   readonly configuration: Configuration<unknown>;
 }
 
-/** Adds them. */
-export function addRelayGauges(metrics: Metrics, { pressure, configuration }: GaugedParts): void {
+/** Adds the gauges. */
+export function addRelayGauges(metrics: Metrics, { pressure, configuration }: RelayGaugeSources): void {
   const gauge = (name: string, help: string, read: () => number) =>
     metrics.gauge(`cleatquay_${name}`, help, read);
   gauge('processor_lag_ms', 'How late the latest timer was', () => pressure.lagMs);
--- a/packages/daemon/src/relayReport.ts
+++ b/packages/daemon/src/relayReport.ts
@@ -1,4 +1,4 @@
-/** What a daemon for unchanged callers tells operators of itself. */
+/** What a daemon for unmodified callers reports to operators. */
 import { type RunningCalls, type TryMemory } from '@cleatquay/calls';
 import { type Configuration, type Freshness } from '@cleatquay/configuration';
 import { invariantViolations } from '@cleatquay/errors';
@@ -8,21 +8,21 @@
 import { type Router } from '@cleatquay/routing';
 import { type Upstreams } from './upstreams.js';
 
-/** The parts that a report reads. */
-export interface RelayReportParts {
+/** The components whose state is reported. */
+export interface RelayReportSources {
   readonly configuration: Configuration<HostRoutes>;
   readonly membership: Membership;
   readonly upstreams: Upstreams;
   readonly router: Router;
   readonly running: RunningCalls;
-  readonly tries: TryMemory;
+  readonly attempts: TryMemory;
   readonly quarantine: Quarantine;
   readonly inFlight: number;
   readonly freshness: Freshness;
 }
 
-/** What it has in force, and whom it knows. */
-export function relayStatus(parts: RelayReportParts): object {
+/** The active configuration, the upstreams and the members known to this daemon. */
+export function relayStatus(parts: RelayReportSources): object {
   const { configuration, membership, upstreams, quarantine, inFlight, freshness } = parts;
   return {
     address: membership.me.address,
@@ -38,15 +38,15 @@
   };
 }
 
-/** The whole state, for people. */
-export function relayDump(parts: RelayReportParts): object {
+/** The complete state, for troubleshooting. */
+export function relayDump(parts: RelayReportSources): object {
   return {
     ...relayStatus(parts),
     plan: parts.configuration.inForce?.plan,
     routing: parts.router.dump(),
     departures: parts.upstreams.departures,
     runningHere: parts.running.size,
-    rememberedTries: parts.tries.size,
+    rememberedTries: parts.attempts.size,
     membership: parts.membership.dump(),
     invariantViolations,
     memory: process.memoryUsage(),
--- a/packages/daemon/src/relaySettings.ts
+++ b/packages/daemon/src/relaySettings.ts
@@ -1,24 +1,27 @@
-/** Settings of a daemon that serves unchanged callers. */
+/** Settings of a daemon for unmodified callers. */
 import { type FleetRetryBounds } from '@cleatquay/calls';
 import { type QuotaDivision } from '@cleatquay/organisations';
-import { type CorePlace } from './core.js';
+import { type CoreSettings } from './core.js';
 
-/** What such a daemon is told of its VM and of the bounds that it keeps. */
-export interface RelaySettings extends CorePlace {
-  /** ip:port for callers and for the upstream's calls. */
+/** Addresses on the VM, and the limits that the daemon enforces. */
+export interface RelaySettings extends CoreSettings {
+  /** Listen address for callers and for the upstream's own calls, ip:port. */
   readonly callers: string;
   /** Port of metrics, status and dump. */
   readonly operatorPort: number;
   /** Service of the upstream on this VM. */
   readonly service: string;
-  /** How often upstreams announce themselves, ms. */
+  /** Interval of the announcements of upstreams, ms. */
   readonly heartbeatMs: number;
-  /** Time from the request to end until the process is killed, ms. */
+  /** Time from the termination signal until the process is killed, ms. */
   readonly graceMs: number;
   readonly retries: FleetRetryBounds;
-  /** How long after it was taken away a key may be honoured by any daemon, ms; undefined where only daemons in contact have to keep up. */
+  /**
+   * Time after the revocation of a key within which every daemon has to stop accepting it, ms; undefined if that is
+   * required only of daemons that can reach the others.
+   */
   readonly revocationMs: number | undefined;
-  /** How quotas of organisations are divided over the fleet. */
+  /** How the quotas of organisations are divided among the fleet. */
   readonly quotas: QuotaDivision;
   readonly logLevel: string;
 }
--- a/packages/daemon/src/upstreamGauges.ts
+++ b/packages/daemon/src/upstreamGauges.ts
@@ -1,4 +1,4 @@
-/** What metrics tell of what the upstreams beside a daemon say of themselves. */
+/** Gauges of what the local upstreams report about themselves. */
 import { type Metrics } from './metrics.js';
 import { type Upstreams } from './upstreams.js';
 
--- a/tests/departedCallers.spec.ts
+++ b/tests/departedCallers.spec.ts
@@ -1,19 +1,19 @@
 /**
- * What users saw: while a surge kept daemons busy, 403 calls reached upstreams up to 0.5 s after their callers had closed
- * their connections; the upstreams, short of room, worked for nobody.
+ * Guards against calls that reach an upstream long after their callers have disconnected.
  *
- * Order of events: an entry has more requests than time. Its event loop reads hundreds of them in one turn, which takes half a
- * second; the callers of some close their connections meanwhile. Every request is sent on as it is read, and only the next turn
- * reads that its caller has left.
+ * While a surge kept daemons busy, 403 calls reached upstreams up to 0.5 s after their callers had closed the connections,
+ * and used up capacity that the upstreams were short of. One event loop iteration of the ingress read hundreds of requests and
+ * took half a second. Each request was forwarded as it was read, and only the next iteration read that some callers had
+ * disconnected meanwhile. The check for disconnects had two faults (figures of this test before the fix):
  *
- * Cause: what the guard against this looked at was older than what it guarded. (1) It waited for the next turn to read what had
- * come, but took the caller's leaving from the end of the answer, which node tells a turn after the end of the connection. (2) It
- * was off unless the last 50 ms timer had come late, and no timer runs while a long turn begins.
+ * 1. It waited for the next iteration, but relied on the response's 'close' event, which node emits one iteration after the
+ *    end of a connection that is closed in order (after a reset it comes in time). 20 of 20 requests were forwarded whose
+ *    callers had disconnected 200 ms before anything was read.
+ * 2. It was active only if the latest 50 ms timer had fired late, and no timer fires while a long iteration starts. 337 to
+ *    348 of 500 requests were forwarded later than 250 ms after their callers had disconnected.
  *
- * Evidence: printed by turn, node tells of a closed connection as "second wait over, answer closed" when the connection ends in
- * order, and as "answer closed, second wait over" when it is reset. Here, on the code before: 20 of 20 requests were sent on whose
- * callers had left 200 ms before anything was read (1), and 337 to 348 of 500 later than 250 ms after their callers (2).
- * When the rule broke in a replay, no daemon's timers came 200 ms late: there, (1) in shorter turns is the likelier cause.
+ * When the fault occurred in a replay, no daemon's timers were 200 ms late; there, the first fault in shorter iterations is
+ * the likelier cause.
  */
 import { ProcessorPressure } from '@cleatquay/admission';
 import { WorkTurns, answerOf } from '@cleatquay/calls';
@@ -24,27 +24,27 @@
 import { expect } from 'chai';
 import { once } from 'node:events';
 import { type AddressInfo } from 'node:net';
-import { DepartingCallers } from './fixtures/departingCallers.js';
+import { DisconnectingCallers } from './fixtures/departingCallers.js';
 import { PlatformFleet, routeTo } from './fixtures/platformFleet.js';
 
-/** Callers leave so soon after they asked, ms. */
-const STAY_MS = 100;
-/** What is sent on later than this after its caller has left can't reach an upstream in time, ms. */
-const LATE_MS = 250;
-/** What a call costs, ms: seen on VMs with half a core. */
+/** Time between a caller's request and its disconnect, ms. */
+const DISCONNECT_AFTER_MS = 100;
+/** Upper bound of the time from a caller's disconnect until its request is forwarded, ms. */
+const MAX_FORWARD_DELAY_MS = 250;
+/** Processor time of a call on a VM with half a core, ms. */
 const CALL_COST_MS = 2;
 
-const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
+const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
-function keepBusy(ms: number): void {
+function blockEventLoop(ms: number): void {
   const end = performance.now() + ms;
   while (performance.now() < end);
 }
 
-const idsOf = (count: number) => Array.from({ length: count }, (_, index) => `left-${String(index)}`);
+const idsOf = (count: number) => Array.from({ length: count }, (_, index) => `disconnected-${String(index)}`);
 
-describe('requests whose callers have left', () => {
-  describe('at a daemon that gets no processor time until they have', () => {
+describe('requests whose callers have disconnected', () => {
+  describe('at a daemon that gets no processor time until they have disconnected', () => {
     let fleet: PlatformFleet;
 
     beforeEach(async () => {
@@ -53,42 +53,42 @@
 
     afterEach(() => fleet[Symbol.asyncDispose]());
 
-    it('are not sent on', async () => {
+    it('are not forwarded', async () => {
       const [node] = fleet.nodes;
-      const plan = { host: 'history.example', ids: idsOf(20), stayMs: STAY_MS };
-      await using callers = await DepartingCallers.open(node!.daemon.addresses.get('callers')!, plan);
-      await pause(STAY_MS);
-      const left = callers.askAndLeave();
-      keepBusy(3 * STAY_MS);
-      await left;
-      await pause(LATE_MS);
+      const plan = { host: 'history.example', ids: idsOf(20), disconnectAfterMs: DISCONNECT_AFTER_MS };
+      await using callers = await DisconnectingCallers.open(node!.daemon.addresses.get('callers')!, plan);
+      await sleep(DISCONNECT_AFTER_MS);
+      const disconnected = callers.sendAndDisconnect();
+      blockEventLoop(3 * DISCONNECT_AFTER_MS);
+      await disconnected;
+      await sleep(MAX_FORWARD_DELAY_MS);
       expect(node!.upstream.arrivals.map(({ requestId }) => requestId)).to.deep.equal([]);
     });
   });
 
-  describe('at a daemon that reads more at once than it has time for', () => {
+  describe('at a daemon that reads more requests at once than it has time for', () => {
     const clock = new SystemClock();
     let pressure: ProcessorPressure;
     let gateway: RelayGateway;
-    let sentOnAt: number[];
+    let forwardedAt: number[];
 
     beforeEach(async () => {
-      sentOnAt = [];
+      forwardedAt = [];
       pressure = new ProcessorPressure(clock, () => 1);
       gateway = new RelayGateway({
-        relay: {
+        ingress: {
           handle: () => {
-            sentOnAt.push(Date.now());
-            keepBusy(CALL_COST_MS);
+            forwardedAt.push(Date.now());
+            blockEventLoop(CALL_COST_MS);
             return Promise.resolve(answerOf(endOf(refusalOf('overloaded', ''), 0)));
           },
         },
         dialect: callerDialect,
         limits: () => undefined,
         needsKeys: () => false,
-        isLeaving: () => false,
-        turns: new WorkTurns(clock, () => pressure.isLagging),
-        started: () => () => undefined,
+        isShuttingDown: () => false,
+        scheduler: new WorkTurns(clock, () => pressure.isLagging),
+        onRequestStart: () => () => undefined,
       });
       gateway.server.listen(0, '127.0.0.1');
       await once(gateway.server, 'listening');
@@ -100,15 +100,15 @@
       gateway.server.close();
     });
 
-    it('are not sent on long after', async () => {
+    it('are not forwarded long afterwards', async () => {
       const address = `127.0.0.1:${String((gateway.server.address() as AddressInfo).port)}`;
-      const plan = { host: 'history.example', ids: idsOf(500), stayMs: STAY_MS };
-      await using callers = await DepartingCallers.open(address, plan);
-      await pause(STAY_MS);
-      const leftAt = await callers.askAndLeave();
-      await pause(4 * LATE_MS);
-      expect(sentOnAt.filter(at => at - leftAt > LATE_MS)).to.have.length(0);
-      expect(sentOnAt).to.not.have.length(0);
+      const plan = { host: 'history.example', ids: idsOf(500), disconnectAfterMs: DISCONNECT_AFTER_MS };
+      await using callers = await DisconnectingCallers.open(address, plan);
+      await sleep(DISCONNECT_AFTER_MS);
+      const disconnectedAt = await callers.sendAndDisconnect();
+      await sleep(4 * MAX_FORWARD_DELAY_MS);
+      expect(forwardedAt.filter(at => at - disconnectedAt > MAX_FORWARD_DELAY_MS)).to.have.length(0);
+      expect(forwardedAt).to.not.have.length(0);
     });
   });
 });
--- a/tests/platformExplain.spec.ts
+++ b/tests/platformExplain.spec.ts
@@ -67,7 +67,7 @@
     expect(second).to.equal(first);
     expect(secondStart).to.not.equal(firstStart);
     const line = fleet.logged.find(
-      ({ msg }) => msg === 'Upstreams: An upstream ended with requests running.',
+      ({ msg }) => msg === 'Upstreams: An upstream crashed with requests in flight.',
     );
     expect(line).to.deep.include({
       start: firstStart,
--- a/tests/slowReaders.spec.ts
+++ b/tests/slowReaders.spec.ts
@@ -7,14 +7,14 @@
 import { type AddressInfo, connect } from 'node:net';
 import { until } from './fixtures/platformFleet.js';
 
-/** Far more than the buffers of a connection take. */
+/** Far more than fits into the buffers of a connection. */
 const ANSWER_BYTES = 32 * 1_048_576;
 
 /**
- * A daemon that ends waits for what is in flight and then closes its connections. An answer that was handed to node, but is not
- * yet read, is cut off by that: it is in flight as much as one that is still to come.
+ * A daemon that shuts down waits for requests in flight and then closes its connections. That truncates a response which node
+ * has buffered but the caller has not read yet, so such a request still counts as in flight.
  */
-describe('an answer to a caller that reads slowly', () => {
+describe('a response to a caller that reads slowly', () => {
   let inFlight: number;
   let gateway: RelayGateway;
 
@@ -22,16 +22,16 @@
     inFlight = 0;
     const body = Buffer.alloc(ANSWER_BYTES);
     gateway = new RelayGateway({
-      relay: {
+      ingress: {
         handle: () =>
           Promise.resolve(answerOf(replay({ head: { status: 200, headers: '', unframed: false }, body }))),
       },
       dialect: callerDialect,
       limits: () => undefined,
       needsKeys: () => false,
-      isLeaving: () => false,
-      turns: new WorkTurns(new SystemClock(), () => false),
-      started: () => {
+      isShuttingDown: () => false,
+      scheduler: new WorkTurns(new SystemClock(), () => false),
+      onRequestStart: () => {
         inFlight++;
         return () => inFlight--;
       },
@@ -45,7 +45,7 @@
     gateway.server.close();
   });
 
-  it('is in flight until all of it has left, and then no longer', async () => {
+  it('is in flight until all of it is sent, and no longer', async () => {
     const caller = connect((gateway.server.address() as AddressInfo).port, '127.0.0.1');
     caller.write('GET /x HTTP/1.1\r\nHost: history.example\r\nRequest-Id: slow\r\n\r\n');
     await once(caller, 'readable');
