--- a/tests/endingEntry.spec.ts
+++ b/tests/endingEntry.spec.ts
@@ -1,35 +1,32 @@
 /**
- * What users saw: during a planned restart, a daemon closed connections on which requests were waiting for answers, without a
- * word. An upstream had just begun to work on them.
+ * Guards against a daemon that shuts down and closes connections on which requests are waiting for responses.
  *
- * Order of events: the daemon is told to end and its readiness check fails. For a moment nothing is in flight. It stops waiting,
- * lets nobody in any more, and gives its last bytes 100 ms to leave. A caller that still has an open connection sends a request in
- * these 100 ms; the daemon sends it on, and closes all connections before the answer is there.
+ * After the drain of a planned restart, with no request in flight, the daemon stopped accepting connections and left 100 ms
+ * for the last bytes to be sent. A caller with an open connection sent a request in these 100 ms; the daemon forwarded it to
+ * an upstream and closed the connection before the response. The end of the drain affected the listeners only: requests on
+ * open connections were accepted until the end of the whole grace period.
  *
- * Cause: the decision to end took effect on the listeners only. Whatever came over an open connection was still taken, up to the
- * end of the whole grace, though the daemon was to live for 100 ms more.
- *
- * Evidence: the connections were closed 2.78 s after the daemon had been told to end. Its grace would have lasted for 5.1 s;
- * 2.3 s until it is seen unready, a wait for a moment with nothing in flight, and 0.1 s make 2.4 s and more. Other daemons logged their end
- * 2.50 to 2.51 s after they were told. Here, on the code before: one request ran and got no answer, in 3 of 3 runs.
+ * There, the connections were closed 2.78 s after the termination signal, with a grace period of 5.1 s; other daemons
+ * stopped after 2.50 to 2.51 s. The least is 2.4 s: 2.3 s until the failed readiness is seen, and 0.1 s for the last bytes.
+ * In this test, one request ran without a response in 3 of 3 runs before the fix.
  */
 import { expect } from 'chai';
 import { once } from 'node:events';
 import { type Socket, connect } from 'node:net';
 import { PlatformFleet, type PlatformNode, routeTo } from './fixtures/platformFleet.js';
 
-/** Work of an upstream on a request, ms: longer than a daemon waits with its last bytes. */
+/** Processing time of a request, ms: longer than a daemon waits for its last bytes to be sent. */
 const WORK_MS = 150;
-/** Between two requests, ms: after each there is a moment with nothing in flight. */
-const EVERY_MS = 190;
+/** Interval of the requests, ms: leaves a moment with none in flight after each. */
+const REQUEST_INTERVAL_MS = 190;
 const DEADLINE_MS = 400;
-/** Longer than the grace of the daemon, which is 3 s. */
-const REQUESTS = 18;
+/** Enough to cover more than the grace period of the daemon, which is 3 s. */
+const REQUEST_COUNT = 18;
 
-const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
+const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
-/** Sends a request over an open connection; gives the status, 0 if the connection ends without an answer. */
-async function askOver(socket: Socket, id: string): Promise<number> {
+/** Sends a request over an open connection; returns the status, or 0 if the connection closes without a response. */
+async function sendRequest(socket: Socket, id: string): Promise<number> {
   if (socket.destroyed) return 0;
   let text = '';
   socket.on('data', (chunk: Buffer) => (text += chunk.toString()));
@@ -41,9 +38,9 @@
   return Number(/^HTTP\/1\.1 (\d{3})/.exec(text)?.[1] ?? 0);
 }
 
-describe('an entry that ends while callers keep using their open connections', () => {
+describe('an ingress daemon that shuts down while callers keep using their open connections', () => {
   let fleet: PlatformFleet;
-  let entry: PlatformNode;
+  let ingress: PlatformNode;
 
   beforeEach(async () => {
     const behaviour = { workMs: WORK_MS };
@@ -51,34 +48,34 @@
       [{ service: 'alarms' }, { service: 'history', behaviour }],
       [routeTo('history')],
     );
-    entry = fleet.nodes.splice(0, 1)[0]!;
+    ingress = fleet.nodes.splice(0, 1)[0]!;
   });
 
   afterEach(async () => {
-    await entry.upstream[Symbol.asyncDispose]();
-    await entry.store[Symbol.asyncDispose]();
+    await ingress.upstream[Symbol.asyncDispose]();
+    await ingress.store[Symbol.asyncDispose]();
     await fleet[Symbol.asyncDispose]();
   });
 
-  const connections = async () => {
-    const [ip, port] = entry.daemon.addresses.get('callers')!.split(':');
-    const sockets = Array.from({ length: REQUESTS }, () => connect(Number(port), ip));
+  const openConnections = async () => {
+    const [ip, port] = ingress.daemon.addresses.get('callers')!.split(':');
+    const sockets = Array.from({ length: REQUEST_COUNT }, () => connect(Number(port), ip));
     await Promise.all(sockets.map(socket => once(socket, 'connect')));
     for (const socket of sockets) socket.on('error', () => undefined);
     return sockets;
   };
-  const endEntry = async () => {
-    await entry.daemon.drain();
-    await entry.daemon[Symbol.asyncDispose]();
+  const shutDownIngress = async () => {
+    await ingress.daemon.drain();
+    await ingress.daemon[Symbol.asyncDispose]();
   };
 
-  it('gives an answer to each request that it has sent on', async () => {
-    const sockets = await connections();
-    const ended = endEntry();
+  it('responds to each request that it has forwarded', async () => {
+    const sockets = await openConnections();
+    const ended = shutDownIngress();
     const statuses: Promise<number>[] = [];
     for (const [index, socket] of sockets.entries()) {
-      statuses.push(askOver(socket, `kept-${String(index)}`));
-      await pause(EVERY_MS);
+      statuses.push(sendRequest(socket, `kept-${String(index)}`));
+      await sleep(REQUEST_INTERVAL_MS);
     }
     await ended;
     const unanswered = (await Promise.all(statuses))
--- a/tests/limits.spec.ts
+++ b/tests/limits.spec.ts
@@ -5,8 +5,8 @@
 import { expect } from 'chai';
 import { smallFleet } from './fixtures/smallFleet.js';
 
-const IN_FORCE_MS = 4000;
-const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
+const CONFIGURATION_DELAY_MS = 4000;
+const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
 describe("an operator's limit", () => {
   let fleet: Fleet;
@@ -24,17 +24,17 @@
     return upstreams[0]?.load.limit;
   };
 
-  it('holds for an upstream that announces more, also after it renewed its announcement', async () => {
-    await pause(IN_FORCE_MS);
+  it('applies to an upstream that announces more slots, also after it has renewed its announcement', async () => {
+    await sleep(CONFIGURATION_DELAY_MS);
     expect(await limitAfterCalls()).to.equal(2);
   });
 
-  it('is in force within seconds of its change, without a new start of the upstream', async () => {
+  it('is active within seconds of a change, without a restart of the upstream', async () => {
     await using platform = new HttpStore(fleet.platformUrl);
     const file = structuredClone(fileOf(deployments.frostline!));
     file.services.alarms!.slots = 5;
     await new ConfigurationStore(platform, new SystemClock()).apply(file);
-    await pause(IN_FORCE_MS);
+    await sleep(CONFIGURATION_DELAY_MS);
     expect(await limitAfterCalls()).to.equal(5);
   });
 });
--- a/tests/wholePath.spec.ts
+++ b/tests/wholePath.spec.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { smallFleet } from './fixtures/smallFleet.js';
 
-describe('the whole path', () => {
+describe('the request path', () => {
   let fleet: Fleet;
 
   before(async () => {
@@ -16,13 +16,13 @@
 
   after(() => fleet[Symbol.asyncDispose]());
 
-  const ask = (path: string, init: RequestInit = {}, entry = 0) =>
+  const send = (path: string, init: RequestInit = {}, entry = 0) =>
     fetch(`${fleet.callerUrls[entry]!}${path}`, { ...init, headers: { 'x-token': 't7', ...init.headers } });
 
   describe('a request', () => {
-    it('goes three services deep and comes back whole, from every daemon', async () => {
+    it('passes through three services and gets a complete response, from every daemon', async () => {
       for (const entry of fleet.nodes.keys()) {
-        const answer = await ask('/exports/sensors/7', {}, entry);
+        const answer = await send('/exports/sensors/7', {}, entry);
         expect(answer.status).to.equal(200);
         expect(answer.headers.get('cleatquay-outcome')).to.equal('answered');
         const body = (await answer.json()) as { children: { children: { route: string }[] }[] };
@@ -30,21 +30,21 @@
       }
     });
 
-    it('streams a large answer whole', async () => {
-      const answer = await ask('/exports/sensors/7?size=3000000');
+    it('streams a large response completely', async () => {
+      const answer = await send('/exports/sensors/7?size=3000000');
       const body = (await answer.json()) as { filler: string };
       expect(body.filler).to.have.lengthOf(3_000_000);
     });
 
-    it('streams a large body whole', async () => {
-      const answer = await ask('/receiving/receipts', { method: 'POST', body: 'x'.repeat(2_000_000) });
+    it('streams a large request body completely', async () => {
+      const answer = await send('/receiving/receipts', { method: 'POST', body: 'x'.repeat(2_000_000) });
       expect(((await answer.json()) as { received: number }).received).to.equal(2_000_000);
     });
   });
 
-  describe('a request that no route fits', () => {
-    it('is told so by number, as not run', async () => {
-      const answer = await ask('/history/nothing');
+  describe('a request that matches no route', () => {
+    it('gets the code of an unknown route, and the outcome not-run', async () => {
+      const answer = await send('/history/nothing');
       expect(answer.status).to.equal(404);
       expect(answer.headers.get('cleatquay-outcome')).to.equal('not-run');
       expect(await answer.json()).to.include({ code: 1010, result: 'routeUnknown' });
@@ -59,12 +59,12 @@
         body: JSON.stringify({ service: 'x', address: '127.0.0.1:9', slots: 1, connections: 1, ...change }),
       });
 
-    it('of another VM is refused, naming the field', async () => {
+    it('with an address on another VM is refused, naming the field', async () => {
       const answer = await announce({ address: '10.0.0.1:80' });
       expect(await answer.json()).to.include({ code: 1006, field: 'address' });
     });
 
-    it('of an address where nothing listens is refused', async () => {
+    it('with an address on which nothing listens is refused', async () => {
       const answer = await announce({});
       expect(await answer.json()).to.include({ code: 1007, field: 'address' });
     });
