--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -99,8 +99,8 @@
   }
 
   /** Starts a daemon, which serves requests once the promise resolves. */
-  static async start(parts: DaemonOptions): Promise<Daemon> {
-    const daemon = new Daemon(parts);
+  static async start(options: DaemonOptions): Promise<Daemon> {
+    const daemon = new Daemon(options);
     daemon.core = await daemon.startCore();
     daemon.organisations.join(daemon.membership);
     daemon.ingress = daemon.createIngress();
--- a/packages/daemon/src/daemonReport.ts
+++ b/packages/daemon/src/daemonReport.ts
@@ -28,27 +28,27 @@
 }
 
 /** The complete state, for troubleshooting. */
-export function daemonDump(parts: ReportSources): object {
-  const { configuration, membership } = parts;
+export function daemonDump(sources: ReportSources): object {
+  const { configuration, membership } = sources;
   return {
-    addresses: parts.addresses,
-    settings: parts.settings,
+    addresses: sources.addresses,
+    settings: sources.settings,
     configuration: {
       generation: configuration.generation,
       digest: configuration.digest,
       applyId: configuration.applyId,
       adoptedAt: configuration.adoptedAt,
-      spread: parts.distribution.state,
+      spread: sources.distribution.state,
       file: configuration.inForce?.file,
     },
-    upstreams: parts.upstreams.dump(),
-    routing: parts.router.dump(),
+    upstreams: sources.upstreams.dump(),
+    routing: sources.router.dump(),
     calls: {
-      inFlight: parts.inFlight.size,
-      runningHere: parts.running.size,
-      rememberedIds: parts.home.size,
-      rememberedTries: parts.attempts.size,
-      peers: parts.peers.addresses,
+      inFlight: sources.inFlight.size,
+      runningHere: sources.running.size,
+      rememberedIds: sources.home.size,
+      rememberedTries: sources.attempts.size,
+      peers: sources.peers.addresses,
     },
     membership: membership.dump(),
     invariantViolations,
@@ -85,15 +85,19 @@
 }
 
 /** Adds gauges that are evaluated on each scrape; docs/operators/observe.md lists them. */
-export function addDaemonGauges(metrics: Metrics, parts: ReportSources): void {
-  const { configuration, distribution: spread, membership, upstreams, home, inFlight } = parts;
+export function addDaemonGauges(metrics: Metrics, sources: ReportSources): void {
+  const { configuration, distribution, membership, upstreams, home, inFlight } = sources;
   const { traffic, table } = membership;
   const gauge = (name: string, help: string, read: () => number) =>
     metrics.gauge(`cleatquay_${name}`, help, read);
   gauge('configuration_generation', 'Generation in force', () => configuration.generation);
   gauge('configuration_content', 'First half of the digest in force', () => configuration.shortDigest);
-  gauge('configuration_received_bytes', 'Bytes of configuration from peers', () => spread.state.peerBytes);
-  gauge('platform_failures', 'Failed reads of the platform', () => spread.state.platformFailures);
+  gauge(
+    'configuration_received_bytes',
+    'Bytes of configuration from peers',
+    () => distribution.state.peerBytes,
+  );
+  gauge('platform_failures', 'Failed reads of the platform', () => distribution.state.platformFailures);
   gauge('requests_in_flight', 'Requests of callers in flight', () => inFlight.size);
   gauge('members', 'Known members, gone ones included', () => table.size);
   gauge('gossip_sent_bytes', 'Bytes of gossip sent', () => traffic.sentBytes);
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -115,7 +115,7 @@
   private drainDeadline = Number.POSITIVE_INFINITY;
 
   private constructor(private readonly options: RelayDaemonOptions) {
-    const { settings, clock, random, log, installation } = options;
+    const { settings, clock, random, log, installation: adapter } = options;
     this.configurationLog = log.child({ part: 'configuration' });
     this.learnedCalls = new LearnedCalls(clock);
     const processorLog = log.child({ part: 'processor' });
@@ -131,7 +131,7 @@
     this.scheduler = new WorkTurns(clock, () => this.pressure.isLagging);
     this.configuration = new Configuration(
       clock,
-      sections => new HostRoutes(installation.plan(sections), random, this.configuration.inForce),
+      sections => new HostRoutes(adapter.plan(sections), random, this.configuration.inForce),
       adoption => this.onConfigurationAdopted(adoption),
     );
     this.organisations = new OrganisationSide({
@@ -147,7 +147,7 @@
     });
     this.gateway = new RelayGateway({
       ingress: { handle: (...call) => this.ingress.handle(...call) },
-      dialect: installation.callers,
+      dialect: adapter.callers,
       limits: () => this.configuration.inForce?.plan.limits,
       needsKeys: () => this.organisations.needsKeys,
       isShuttingDown: () => this.shutdownStartedAt !== undefined,
@@ -157,12 +157,12 @@
   }
 
   /** Starts a daemon, which listens once the promise resolves, and is ready once a configuration is active. */
-  static async start(parts: RelayDaemonOptions): Promise<RelayDaemon> {
-    const daemon = new RelayDaemon(parts);
+  static async start(options: RelayDaemonOptions): Promise<RelayDaemon> {
+    const daemon = new RelayDaemon(options);
     daemon.core = await daemon.startCore();
     daemon.organisations.join(daemon.membership);
     daemon.ingress = daemon.createIngress();
-    daemon.readers = new Readers(parts.clock, daemon.membership, parts.settings.failureDomain);
+    daemon.readers = new Readers(options.clock, daemon.membership, options.settings.failureDomain);
     daemon.discovery = daemon.createDiscovery();
     daemon.watcher = daemon.createWatcher();
     daemon.distribution = daemon.createDistribution();
@@ -262,7 +262,7 @@
   }
 
   private startCore(): Promise<DaemonCore> {
-    const { settings, clock, random, log, installation } = this.options;
+    const { settings, clock, random, log, installation: adapter } = this.options;
     const { retries } = settings;
     return DaemonCore.start({
       settings,
@@ -279,7 +279,7 @@
         onDeparture: () => void this.discovery.record(),
       },
       healthPath: service => this.healthPathOf(service),
-      dialect: installation.upstreams,
+      dialect: adapter.upstreams,
       retries: new FleetRetryBudget(clock, retries, () => this.membership.aliveCount() + 1),
       freeReroutes: 3,
       signalsEnforceDeadline: true,
@@ -288,7 +288,7 @@
       attemptRetentionMs: () => ATTEMPT_RETENTION_MS,
       isPartitioned: () => false,
       scheduler: this.scheduler,
-      quarantineTable: installation.quarantine,
+      quarantineTable: adapter.quarantine,
       localService: settings.service,
       handleAsHome: () => {
         const refusal = refusalOf('innerMessageInvalid', 'This daemon does not issue request ids.');
@@ -333,12 +333,12 @@
   }
 
   private createDiscovery(): Meeting {
-    const { clock, random, log, installation } = this.options;
+    const { clock, random, log, installation: adapter } = this.options;
     const discoveryLog = log.child({ part: 'meeting' });
     return new Meeting({
       clock,
       random,
-      table: installation.meeting,
+      table: adapter.meeting,
       membership: this.membership,
       isTender: () => this.readers.isReader,
       kept: () => ({ departures: this.upstreams.departures, upstreams: this.upstreams.known }),
@@ -349,12 +349,12 @@
 
   /** Restores the upstreams and shutdowns that an earlier process of this daemon recorded. */
   private restoreUpstreams({ departures, upstreams }: KeptState): void {
-    const { settings, clock, log, installation } = this.options;
+    const { settings, clock, log, installation: adapter } = this.options;
     for (const { instanceId, born } of departures) this.upstreams.leave(instanceId, born);
     void takeOver(upstreams, {
       clock,
       heartbeatMs: settings.heartbeatMs,
-      dialect: installation.upstreams,
+      dialect: adapter.upstreams,
       healthPath: service => this.healthPathOf(service),
       isKnown: service => this.upstreams.get(service) !== undefined,
       announce: announcement => this.upstreams.announce(announcement),
@@ -364,11 +364,11 @@
   }
 
   private createWatcher(): ConfigurationWatch {
-    const { clock, installation } = this.options;
+    const { clock, installation: adapter } = this.options;
     return new ConfigurationWatch({
       clock,
       configuration: this.configuration,
-      source: installation.source,
+      source: adapter.source,
       freshness: this.organisations.freshness,
       isOnDuty: () => this.readers.isOnDuty,
       waitMs: isFirst =>
@@ -405,10 +405,10 @@
   }
 
   private async startListening(): Promise<void> {
-    const { settings, clock, installation } = this.options;
+    const { settings, clock, installation: adapter } = this.options;
     this.core.quarantine.start();
     this.listeners.add('callers', settings.callers, this.gateway.server);
-    for (const { name, address, handle } of installation.listeners(this))
+    for (const { name, address, handle } of adapter.listeners(this))
       this.listeners.add(name, address, createServer(handle));
     const operators = this.broker.createService(
       operatorGateway({
--- a/packages/daemon/src/relayGateway.ts
+++ b/packages/daemon/src/relayGateway.ts
@@ -129,7 +129,7 @@
       host: request.headers.host ?? '',
       method: request.method ?? 'GET',
       path: request.url ?? '/',
-      headers: passedRawHeaders(request.rawHeaders, this.consumed()),
+      headers: passedRawHeaders(request.rawHeaders, this.consumedHeaders()),
       credentials: this.credentialsOf(request),
       requestId,
       remainingMs: remainingMs === undefined ? undefined : remainingMs - waitedMs,
@@ -141,7 +141,7 @@
    * Callers keep sending their keys after a configuration that no longer needs them. A header that has carried keys is
    * therefore never forwarded again for the lifetime of this process.
    */
-  private consumed(): ReadonlySet<string> {
+  private consumedHeaders(): ReadonlySet<string> {
     return this.hasEverNeededKeys ? this.consumedWithKeys : this.options.dialect.consumed;
   }
 
--- a/packages/daemon/src/relayReport.ts
+++ b/packages/daemon/src/relayReport.ts
@@ -22,8 +22,8 @@
 }
 
 /** The active configuration, the upstreams and the members known to this daemon. */
-export function relayStatus(parts: RelayReportSources): object {
-  const { configuration, membership, upstreams, quarantine, inFlight, freshness } = parts;
+export function relayStatus(sources: RelayReportSources): object {
+  const { configuration, membership, upstreams, quarantine, inFlight, freshness } = sources;
   return {
     address: membership.me.address,
     failureDomain: membership.me.failureDomain,
@@ -39,15 +39,15 @@
 }
 
 /** The complete state, for troubleshooting. */
-export function relayDump(parts: RelayReportSources): object {
+export function relayDump(sources: RelayReportSources): object {
   return {
-    ...relayStatus(parts),
-    plan: parts.configuration.inForce?.plan,
-    routing: parts.router.dump(),
-    departures: parts.upstreams.departures,
-    runningHere: parts.running.size,
-    rememberedTries: parts.attempts.size,
-    membership: parts.membership.dump(),
+    ...relayStatus(sources),
+    plan: sources.configuration.inForce?.plan,
+    routing: sources.router.dump(),
+    departures: sources.upstreams.departures,
+    runningHere: sources.running.size,
+    rememberedTries: sources.attempts.size,
+    membership: sources.membership.dump(),
     invariantViolations,
     memory: process.memoryUsage(),
   };
