--- a/packages/daemon/src/core.ts
+++ b/packages/daemon/src/core.ts
@@ -124,7 +124,7 @@
 
   private constructor(
     private readonly options: CoreOptions,
-    private readonly innerServer: InnerServer,
+    private readonly peerServer: InnerServer,
     private readonly datagrams: UdpDatagrams,
     /** ip:port of the peer protocol; identifies the daemon. */
     readonly self: string,
@@ -235,7 +235,7 @@
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    await this.innerServer[Symbol.asyncDispose]();
+    await this.peerServer[Symbol.asyncDispose]();
     await this.quarantine[Symbol.asyncDispose]();
     await this.membership[Symbol.asyncDispose]();
     await this.datagrams[Symbol.asyncDispose]();
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -1,4 +1,4 @@
-/** The daemon for unmodified callers: the same core, with routes by host and path, and with a platform as the configuration source. */
+/** The daemon for unmodified callers: the same core, routes by host and path, and a watcher of the configuration source in every daemon. */
 import { ProcessorPressure } from '@cleatquay/admission';
 import {
   FleetRetryBudget,
