--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -44,7 +44,7 @@
 /** Time in which callers on keep-alive connections learn of the shutdown before requests are refused, ms. */
 const SHUTDOWN_NOTICE_MS = 500;
 const DRAIN_POLL_MS = 20;
-/** Interval of the announcements of upstreams with native support, ms. */
+/** Interval of the announcements of upstreams that use the native interface, ms. */
 const HEARTBEAT_MS = 1000;
 /** Upper bound of the queueing delay before there is a configuration, ms. */
 const DEFAULT_MAX_QUEUE_MS = 50;
@@ -226,7 +226,7 @@
     this.organisations.adopted();
   }
 
-  /** Quota shares are computed only once the daemon can be assumed to know the fleet. */
+  /** The daemon is assumed to know the fleet, and so its share of quotas, some time after its start. */
   private createOrganisationServices(): OrganisationSide {
     const { settings, clock, random } = this.options;
     const startedAt = clock.now();
--- a/packages/daemon/src/operatorGateway.ts
+++ b/packages/daemon/src/operatorGateway.ts
@@ -93,7 +93,7 @@
   };
 }
 
-/** Parses JSON bodies. The parser is created for the first body: in most deployments a daemon never receives one. */
+/** Parses JSON bodies. The parser is loaded for the first body: in most deployments a daemon never receives one. */
 function jsonBodies(): BodyReader {
   let read: BodyReader | undefined;
   return (request, response, next) => {
