--- a/packages/daemon/src/daemonReport.ts
+++ b/packages/daemon/src/daemonReport.ts
@@ -1,4 +1,4 @@
-/** What a daemon tells operators of itself: the dump, the status, and the gauges. */
+/** What a daemon reports to operators: the dump, the status and the gauges. */
 import { type Home, type Peers, type RunningCalls, type TryMemory } from '@cleatquay/calls';
 import { type Configuration, type ConfigurationSpread } from '@cleatquay/configuration';
 import { invariantViolations } from '@cleatquay/errors';
@@ -9,46 +9,46 @@
 import { type Metrics } from './metrics.js';
 import { type Upstreams } from './upstreams.js';
 
-/** The parts that a report reads. */
-export interface ReportedParts {
+/** The components whose state is reported. */
+export interface ReportSources {
   readonly settings: ProcessSettings;
   readonly addresses: object;
   readonly configuration: Configuration<CallGraph>;
-  readonly spread: ConfigurationSpread;
+  readonly distribution: ConfigurationSpread;
   readonly membership: Membership;
   readonly upstreams: Upstreams;
   readonly router: Router;
   readonly home: Home;
-  readonly tries: TryMemory;
+  readonly attempts: TryMemory;
   readonly running: RunningCalls;
   readonly peers: Peers;
   readonly quarantine: Quarantine;
-  /** Requests of callers in flight. */
+  /** Callers' requests in flight. */
   readonly inFlight: ReadonlySet<unknown>;
 }
 
-/** The whole state, for people. */
-export function dumpOf(parts: ReportedParts): object {
-  const { configuration, membership } = parts;
+/** The complete state, for troubleshooting. */
+export function daemonDump(sources: ReportSources): object {
+  const { configuration, membership } = sources;
   return {
-    addresses: parts.addresses,
-    settings: parts.settings,
+    addresses: sources.addresses,
+    settings: sources.settings,
     configuration: {
       generation: configuration.generation,
       digest: configuration.digest,
       applyId: configuration.applyId,
       adoptedAt: configuration.adoptedAt,
-      spread: parts.spread.state,
+      spread: sources.distribution.state,
       file: configuration.inForce?.file,
     },
-    upstreams: parts.upstreams.dump(),
-    routing: parts.router.dump(),
+    upstreams: sources.upstreams.dump(),
+    routing: sources.router.dump(),
     calls: {
-      inFlight: parts.inFlight.size,
-      runningHere: parts.running.size,
-      rememberedIds: parts.home.size,
-      rememberedTries: parts.tries.size,
-      peers: parts.peers.addresses,
+      inFlight: sources.inFlight.size,
+      runningHere: sources.running.size,
+      rememberedIds: sources.home.size,
+      rememberedTries: sources.attempts.size,
+      peers: sources.peers.addresses,
     },
     membership: membership.dump(),
     invariantViolations,
@@ -56,15 +56,15 @@
   };
 }
 
-/** What `cleatquay status`, `members` and `routes` are made from. */
-export function statusOf({
+/** The data behind `cleatquay status`, `members` and `routes`. */
+export function daemonStatus({
   addresses,
   settings,
   configuration,
   upstreams,
   membership,
   quarantine,
-}: ReportedParts): object {
+}: ReportSources): object {
   return {
     ...addresses,
     failureDomain: settings.failureDomain,
@@ -84,16 +84,20 @@
   };
 }
 
-/** Gauges that are read when the metrics are asked for; docs/operators/observe.md lists them. */
-export function addGauges(metrics: Metrics, parts: ReportedParts): void {
-  const { configuration, spread, membership, upstreams, home, inFlight } = parts;
+/** Adds gauges that are evaluated on each scrape; docs/operators/observe.md lists them. */
+export function addDaemonGauges(metrics: Metrics, sources: ReportSources): void {
+  const { configuration, distribution, membership, upstreams, home, inFlight } = sources;
   const { traffic, table } = membership;
   const gauge = (name: string, help: string, read: () => number) =>
     metrics.gauge(`cleatquay_${name}`, help, read);
   gauge('configuration_generation', 'Generation in force', () => configuration.generation);
   gauge('configuration_content', 'First half of the digest in force', () => configuration.shortDigest);
-  gauge('configuration_received_bytes', 'Bytes of configuration from peers', () => spread.state.peerBytes);
-  gauge('platform_failures', 'Failed reads of the platform', () => spread.state.platformFailures);
+  gauge(
+    'configuration_received_bytes',
+    'Bytes of configuration from peers',
+    () => distribution.state.peerBytes,
+  );
+  gauge('platform_failures', 'Failed reads of the platform', () => distribution.state.platformFailures);
   gauge('requests_in_flight', 'Requests of callers in flight', () => inFlight.size);
   gauge('members', 'Known members, gone ones included', () => table.size);
   gauge('gossip_sent_bytes', 'Bytes of gossip sent', () => traffic.sentBytes);
