--- a/packages/daemon/src/adoptionLog.ts
+++ b/packages/daemon/src/adoptionLog.ts
@@ -1,28 +1,28 @@
-/** Lines that say which configuration a daemon has put in force, where it came from, what it changed, and whether a peer has another. */
+/** Log lines on configurations: which version became active, what it changed, and where peers disagree with it. */
 import { type Adoption } from '@cleatquay/configuration';
 import { type Logger } from 'pino';
 
-/** Sections that a line names, at most: a change of hundreds is told by its number. */
-const MOST_NAMED = 10;
+/** Sections listed by name in one line; of a larger change the line gives only the total. */
+const MAX_NAMED_SECTIONS = 10;
 
-/** Writes it. Two daemons whose lines have the same generation and different digests differ in content. */
+/** Logs a version that became active. Equal generations with different digests in the lines of two daemons mean different content. */
 export function logAdoption(log: Logger, adoption: Adoption): void {
   const { generation, digest, from, before, changes } = adoption;
-  const named = changes.slice(0, MOST_NAMED).map(({ section, kind }) => `${section} ${kind}`);
+  const named = changes.slice(0, MAX_NAMED_SECTIONS).map(({ section, kind }) => `${section} ${kind}`);
   const facts = { generation, digest, from, before, changes: changes.length, named };
-  log.info(facts, 'Configuration: A version is in force.');
+  log.info(facts, 'Configuration: A version became active.');
 }
 
-/** A peer has another content under the generation in force here; the platform is read to tell which is right. */
+/** Logs that a peer has different content for the active generation. The platform is then read to find out which is right. */
 export function logDoubt(
   log: Logger,
   { generation, digest }: { readonly generation: number; readonly digest: string },
   peer: string,
 ): void {
-  log.warn({ generation, digest, peer }, 'Configuration: A peer has another content under this generation.');
+  log.warn({ generation, digest, peer }, 'Configuration: A peer has different content for this generation.');
 }
 
-/** A peer that said that it has a higher generation did not give it; at most four lines a second. */
+/** Logs that a peer reported a higher generation but did not deliver it. Writes at most four lines a second. */
 export function logPeerFailure(log: Logger, peer: string, reason: string): void {
-  log.info({ peer, reason }, 'Configuration: A peer did not give its version.');
+  log.info({ peer, reason }, 'Configuration: Fetching a version from a peer failed.');
 }
--- a/packages/daemon/src/announcement.ts
+++ b/packages/daemon/src/announcement.ts
@@ -1,10 +1,10 @@
-/** What an upstream says of itself when it announces itself. */
+/** The announcement with which an upstream registers at its daemon. */
 import { check } from '@cleatquay/settings';
 import { type Static, Type } from '@sinclair/typebox';
 import { createHash } from 'node:crypto';
 
-/** Characters of an upstream's name in that of a start of it. */
-const LONGEST_NAME = 40;
+/** Longest instance id, in characters, that a start id contains unhashed. */
+const MAX_INSTANCE_ID_LENGTH = 40;
 
 const AnnouncementSchema = Type.Object(
   {
@@ -13,42 +13,43 @@
     slots: Type.Integer({ minimum: 1, maximum: 100_000 }),
     connections: Type.Integer({ minimum: 1, maximum: 100_000 }),
     state: Type.Union([Type.Literal('ready'), Type.Literal('draining')], { default: 'ready' }),
-    instanceId: Type.String({ default: '', description: 'names the upstream' }),
+    instanceId: Type.String({ default: '', description: 'identifies the upstream' }),
     born: Type.Integer({
       minimum: 0,
       default: 0,
-      description: 'when it was started, Unix ms; another start may have the same id; 0 if it does not tell',
+      description:
+        'start time of the process, Unix ms; a later start may reuse the instance id; 0 if unknown',
     }),
-    sequence: Type.Integer({ minimum: 0, default: 0, description: 'rises with each announcement' }),
-    warmupLeftMs: Type.Number({ minimum: 0, default: 0, description: 'how much longer it is slow' }),
+    sequence: Type.Integer({ minimum: 0, default: 0, description: 'increases with each announcement' }),
+    warmupLeftMs: Type.Number({ minimum: 0, default: 0, description: 'remaining warm-up time' }),
   },
   { additionalProperties: false },
 );
 
-/** What it announces, and renews every second. */
+/** The content of an announcement, which an upstream repeats as a heartbeat every second. */
 export type Announcement = Static<typeof AnnouncementSchema>;
 
-/** Checks an announcement, or fails naming the field at fault. */
+/** Validates an announcement. Throws a failure that names the invalid field. */
 export function checkAnnouncement(data: unknown): Announcement {
   return check(AnnouncementSchema, data, 'announcementInvalid');
 }
 
-/** Whether two announcements are of the same start at the same address. */
+/** Whether two announcements come from the same start of an upstream at the same address. */
 export function isSameStart(a: Announcement, b: Announcement): boolean {
   return a.address === b.address && a.instanceId === b.instanceId && a.born === b.born;
 }
 
 /**
- * Names the start that an announcement is of, in the whole fleet. An upstream that doesn't name itself is told apart by
- * its address, and by when it was first heard of.
+ * Returns the id, unique in the fleet, of the start that sent an announcement. A start is one process lifetime of an
+ * upstream. An upstream without an instance id is identified by its address and the time at which it was first seen.
  */
-export function startOf({ instanceId, born, address }: Announcement, heardFirst: Date): string {
-  if (instanceId === '') return `${address}@${String(heardFirst.getTime())}`;
-  return `${shortened(instanceId)}@${String(born)}`;
+export function startIdOf({ instanceId, born, address }: Announcement, firstSeenAt: Date): string {
+  if (instanceId === '') return `${address}@${String(firstSeenAt.getTime())}`;
+  return `${shortenInstanceId(instanceId)}@${String(born)}`;
 }
 
-/** A long name by its digest: daemons tell each other of starts in datagrams. */
-function shortened(instanceId: string): string {
-  if (instanceId.length <= LONGEST_NAME) return instanceId;
-  return createHash('sha256').update(instanceId).digest('hex').slice(0, LONGEST_NAME);
+/** Replaces a long instance id with a digest, since daemons send start ids in datagrams, whose size is limited. */
+function shortenInstanceId(instanceId: string): string {
+  if (instanceId.length <= MAX_INSTANCE_ID_LENGTH) return instanceId;
+  return createHash('sha256').update(instanceId).digest('hex').slice(0, MAX_INSTANCE_ID_LENGTH);
 }
--- a/packages/daemon/src/fleetQuotas.ts
+++ b/packages/daemon/src/fleetQuotas.ts
@@ -1,36 +1,39 @@
-/** The quotas of a daemon among the members that it knows. */
+/** Connects the quotas of a daemon to its membership. */
 import { type Clock, ForwardTime, type Random } from '@cleatquay/clock';
 import { type Membership } from '@cleatquay/membership';
 import { type QuotaDivision, Quotas } from '@cleatquay/organisations';
 
-/** A daemon that was found gone may be cut off only, and go on with its share of quotas, for so long, ms. */
-const CUT_OFF_MS = 60_000;
+/**
+ * A daemon that was declared dead still counts for this long, ms: it may only be partitioned, and go on using its share
+ * of the quotas.
+ */
+const PARTITION_GRACE_MS = 60_000;
 
-/** What the quotas of a daemon are made from. */
-export interface FleetQuotasParts {
+/** Dependencies of the quotas of a daemon. */
+export interface FleetQuotasOptions {
   readonly failureDomain: string;
   readonly division: QuotaDivision;
   readonly clock: Clock;
   readonly random: Random;
   readonly membership: Membership;
-  /** Whether it has read from the platform which daemons there are: before it has, it can't tell how large its share is. */
+  /** Whether this daemon has a view of the fleet. Before that it can't compute its share. */
   readonly knowsFleet: () => boolean;
 }
 
-/** Quotas that travel in datagrams of membership. */
-export function fleetQuotas(parts: FleetQuotasParts): Quotas {
-  const { failureDomain, division, clock, random, membership, knowsFleet } = parts;
-  const forward = new ForwardTime(clock);
+/** Creates quotas that exchange their messages in membership datagrams. */
+export function fleetQuotas(options: FleetQuotasOptions): Quotas {
+  const { failureDomain, division, clock, random, membership, knowsFleet } = options;
+  const monotonicTime = new ForwardTime(clock);
   return new Quotas({
     clock,
     random,
-    now: () => forward.now(),
+    now: () => monotonicTime.now(),
     epoch: () => membership.me.epoch,
     division,
     self: membership.me.gossipAddress,
     failureDomain,
     members: () => [...membership.table.all()].filter(({ state }) => state === 'ALIVE'),
-    sharers: () => (knowsFleet() ? membership.countLately(failureDomain, CUT_OFF_MS) : undefined),
+    sharers: () => (knowsFleet() ? membership.countLately(failureDomain, PARTITION_GRACE_MS) : undefined),
     ask: (to, question) => membership.askForQuota(to, question),
     answer: (to, answer) => membership.answerForQuota(to, answer),
   });
--- a/packages/daemon/src/formerUpstreams.ts
+++ b/packages/daemon/src/formerUpstreams.ts
@@ -1,6 +1,7 @@
 /**
- * Upstreams that an earlier process of this daemon recorded. Their word may be old: one may have left since, while the
- * table was out of reach. Each is asked for its health, and taken over only if it answers as the instance that it was.
+ * Restores upstreams that an earlier process of this daemon recorded. A record may be outdated: the upstream may have
+ * shut down while the table could not be reached. So each upstream is restored only if its health check responds and names
+ * the recorded instance.
  */
 import { type UpstreamDialect } from '@cleatquay/calls';
 import { type Clock } from '@cleatquay/clock';
@@ -9,13 +10,13 @@
 import { askHealth } from './upstreamHealth.js';
 import { type Announcement } from './announcement.js';
 
-/** A look whether there is a configuration, which tells the path of the health check, ms. */
-const CONFIGURATION_CHECK_MS = 25;
+/** How often to check for a configuration, which contains the path of the health check, ms. */
+const CONFIGURATION_POLL_MS = 25;
 
-/** What taking over needs of its daemon. */
-export interface FormerUpstreamsOptions {
+/** Dependencies of `restoreUpstreams`. */
+export interface RestoreUpstreamsOptions {
   readonly clock: Clock;
-  /** How often upstreams announce themselves, ms: after that, their own word has come. */
+  /** How often upstreams announce themselves, ms. After that time their own announcements have arrived. */
   readonly heartbeatMs: number;
   readonly dialect: Pick<UpstreamDialect, 'instanceOf' | 'noticeOf'>;
   /** Path of the health check of a service; undefined while there is no configuration. */
@@ -23,51 +24,51 @@
   /** Whether an upstream of the service has announced itself to this process. */
   readonly isKnown: (service: string) => boolean;
   readonly announce: (announcement: Announcement) => Promise<void>;
-  /** It is there and says that it leaves. */
+  /** Called for an upstream that is running and reports that it is shutting down. */
   readonly leave: (departure: Departure) => Promise<void>;
   readonly log: (message: string, facts: object) => void;
 }
 
-/** Takes over those that are still there. */
+/** Restores the recorded upstreams that are still running. */
 export async function takeOver(
-  former: readonly KnownUpstream[],
-  options: FormerUpstreamsOptions,
+  recorded: readonly KnownUpstream[],
+  options: RestoreUpstreamsOptions,
 ): Promise<void> {
-  await Promise.all(former.map(upstream => takeOverOne(upstream, options)));
+  await Promise.all(recorded.map(upstream => restoreUpstream(upstream, options)));
 }
 
-async function takeOverOne(upstream: KnownUpstream, options: FormerUpstreamsOptions): Promise<void> {
+async function restoreUpstream(upstream: KnownUpstream, options: RestoreUpstreamsOptions): Promise<void> {
   const { isKnown, announce, leave, log } = options;
   const facts = { service: upstream.service, instance: upstream.instanceId };
   try {
-    const state = await stateOf(upstream, options);
+    const state = await checkState(upstream, options);
     if (state === 'leaving') await leave(upstream);
     if (isKnown(upstream.service)) return;
-    log(FOUND[state], facts);
-    if (state === 'there') await announce({ ...upstream, state: 'ready', sequence: 0, warmupLeftMs: 0 });
+    log(STATE_MESSAGES[state], facts);
+    if (state === 'running') await announce({ ...upstream, state: 'ready', sequence: 0, warmupLeftMs: 0 });
   } catch (error) {
-    log('A recorded upstream was left out.', { ...facts, reason: asFailure(error).describe() });
+    log('A recorded upstream could not be restored.', { ...facts, reason: asFailure(error).describe() });
   }
 }
 
-type FormerState = 'there' | 'leaving' | 'gone';
+type RecordedUpstreamState = 'running' | 'leaving' | 'gone';
 
-const FOUND: Record<FormerState, string> = {
-  there: 'A recorded upstream is still there.',
-  leaving: 'A recorded upstream says that it leaves.',
-  gone: 'A recorded upstream is not there any more.',
+const STATE_MESSAGES: Record<RecordedUpstreamState, string> = {
+  running: 'A recorded upstream is still running.',
+  leaving: 'A recorded upstream reports that it is shutting down.',
+  gone: 'A recorded upstream is gone.',
 };
 
-async function stateOf(
+async function checkState(
   { service, address, instanceId }: KnownUpstream,
-  { clock, heartbeatMs, dialect, healthPath, isKnown }: FormerUpstreamsOptions,
-): Promise<FormerState> {
+  { clock, heartbeatMs, dialect, healthPath, isKnown }: RestoreUpstreamsOptions,
+): Promise<RecordedUpstreamState> {
   const end = clock.now() + heartbeatMs;
-  while (healthPath(service) === undefined && clock.now() < end) await clock.sleep(CONFIGURATION_CHECK_MS);
+  while (healthPath(service) === undefined && clock.now() < end) await clock.sleep(CONFIGURATION_POLL_MS);
   const path = healthPath(service);
   if (path === undefined || isKnown(service)) return 'gone';
   const { isHealthy, headers } = await askHealth(address, path);
   if (dialect.instanceOf(headers) !== instanceId) return 'gone';
   if (dialect.noticeOf(headers).isLeaving) return 'leaving';
-  return isHealthy ? 'there' : 'gone';
+  return isHealthy ? 'running' : 'gone';
 }
--- a/packages/daemon/src/organisationSide.ts
+++ b/packages/daemon/src/organisationSide.ts
@@ -1,43 +1,43 @@
-/** Keys and quotas of organisations as one daemon keeps them: the parts, wired together. */
+/** Wires the parts that check the API keys and quotas of organisations in one daemon. */
 import { type Journal, QuotaGate, Senders } from '@cleatquay/calls';
 import { type Clock, type Random } from '@cleatquay/clock';
 import { Freshness, type ProvenConfiguration } from '@cleatquay/configuration';
 import { type Membership, type QuotaHandlers } from '@cleatquay/membership';
 import { type Keyring, OrganisationCounts, type QuotaDivision, type Quotas } from '@cleatquay/organisations';
 import { fleetQuotas } from './fleetQuotas.js';
-import { ProofRounds } from './proofRounds.js';
+import { ProofRenewer } from './proofRounds.js';
 import { Readers } from './readers.js';
 
-/** What it starts from. */
+/** Dependencies of the services. */
 export interface OrganisationSideOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly configuration: ProvenConfiguration;
-  /** The keys of the configuration in force; undefined where requests need none. */
+  /** The keys of the active configuration; undefined if requests need none. */
   readonly keyring: () => Keyring | undefined;
-  /** How long after it was taken away a key may be honoured, ms; undefined where only daemons in contact have to keep up. */
+  /** Longest time for which a key may be accepted after it was revoked, ms; undefined if that isn't limited for a daemon without contact. */
   readonly revocationMs: number | undefined;
   readonly failureDomain: string;
   readonly division: QuotaDivision;
-  /** Whether it knows which daemons there are, and so how large its share of quotas is. */
+  /** Whether this daemon has a view of the fleet, and so can compute its share of the quotas. */
   readonly knowsFleet: () => boolean;
   readonly log: (message: string, facts: object) => void;
 }
 
-/** The side of one daemon. */
+/** Keys and quotas of organisations in one daemon. */
 export class OrganisationSide implements AsyncDisposable {
   readonly freshness: Freshness;
   readonly counts = new OrganisationCounts();
   readonly senders: Senders;
-  /** Undefined where keys need no proof. */
-  proofs: ProofRounds | undefined;
-  /** Made once the daemon listens for its peers. */
+  /** Undefined if keys are accepted without a freshness proof. */
+  proofs: ProofRenewer | undefined;
+  /** Created once the daemon listens for its peers. */
   quotas!: Quotas;
 
   constructor(private readonly options: OrganisationSideOptions) {
     const { clock, random, configuration } = options;
     this.freshness = new Freshness(clock, configuration);
-    this.senders = new Senders({ random, areKeysProven: () => this.proofs?.isProven ?? true });
+    this.senders = new Senders({ random, areKeysProven: () => this.proofs?.hasValidProof ?? true });
   }
 
   /** Whether requests need keys. */
@@ -45,7 +45,7 @@
     return this.options.keyring() !== undefined;
   }
 
-  /** What membership hands on to it. */
+  /** Handlers for the quota messages that membership receives. */
   get handlers(): QuotaHandlers {
     return {
       heardQuestion: (question, from) => this.quotas.heardQuestion(question, from),
@@ -53,13 +53,13 @@
     };
   }
 
-  /** Takes its place among the members. */
+  /** Connects to the membership. Must be called before `start`. */
   join(membership: Membership): void {
-    this.proofs = this.makeProofs(membership);
+    this.proofs = this.createProofRenewer(membership);
     this.quotas = fleetQuotas({ ...this.options, membership });
   }
 
-  /** The gate for requests of organisations. */
+  /** Creates the gate that applies quotas to requests. */
   gate(journal: Journal): QuotaGate {
     return new QuotaGate({
       clock: this.options.clock,
@@ -70,14 +70,14 @@
     });
   }
 
-  /** Takes over the organisations of a new configuration. */
+  /** Applies the organisations of a new configuration. */
   adopted(): void {
     const organisations = this.options.keyring()?.organisations ?? [];
     this.quotas.adopt(organisations);
     this.counts.keepOnly(new Set(organisations.map(({ name }) => name)));
   }
 
-  /** Starts to keep proofs young. */
+  /** Starts to renew freshness proofs. */
   start(): void {
     this.proofs?.start();
   }
@@ -87,16 +87,16 @@
     this.quotas[Symbol.dispose]();
   }
 
-  private makeProofs(membership: Membership): ProofRounds | undefined {
+  private createProofRenewer(membership: Membership): ProofRenewer | undefined {
     const { clock, random, revocationMs, failureDomain, log } = this.options;
     if (revocationMs === undefined) return undefined;
-    return new ProofRounds({
+    return new ProofRenewer({
       clock,
       random,
       freshness: this.freshness,
       readers: new Readers(clock, membership, failureDomain),
       membership,
-      boundMs: revocationMs,
+      revocationMs,
       needsKeys: () => this.needsKeys,
       log,
     });
--- a/packages/daemon/src/pressureLog.ts
+++ b/packages/daemon/src/pressureLog.ts
@@ -1,46 +1,47 @@
-/** Tells the log when requests begin to wait for the processor, and when they no longer do. */
+/** Logs the beginning and the end of periods in which event-loop lag delays requests. */
 import { type Clock } from '@cleatquay/clock';
 
-/** Without a lag for so long the wait is over, ms. Bounds the log to two lines in that time. */
-const CALM_MS = 1000;
+/** A period ends after this time without lag, ms. This also limits the log to two lines in that time. */
+const RECOVERY_MS = 1000;
 
-/** A wait for the processor, from its first sample that lagged to its last. */
-interface Wait {
+/** A period of event-loop lag, from its first lagging sample to its last. */
+interface LagPeriod {
   readonly since: number;
-  lastAt: number;
-  longestMs: number;
+  lastLagAt: number;
+  maxLagMs: number;
 }
 
-/** Follows the samples of one process. */
+/** Tracks the lag samples of one process. */
 export class PressureLog {
-  private wait: Wait | undefined;
+  private period: LagPeriod | undefined;
 
   constructor(
     private readonly clock: Clock,
     private readonly log: (message: string, facts: object) => void,
   ) {}
 
-  /** Takes a sample of the lag, ms, and whether it is more than is borne. */
+  /** Adds a sample. `isLagging` tells whether `lagMs` exceeds the threshold. */
   sampled(lagMs: number, isLagging: boolean): void {
-    if (isLagging) this.lagged(lagMs);
-    else if (this.wait && this.clock.now() - this.wait.lastAt >= CALM_MS) this.ended(this.wait);
+    if (isLagging) this.recordLag(lagMs);
+    else if (this.period && this.clock.now() - this.period.lastLagAt >= RECOVERY_MS)
+      this.endPeriod(this.period);
   }
 
-  private lagged(lagMs: number): void {
+  private recordLag(lagMs: number): void {
     const now = this.clock.now();
-    if (!this.wait) {
-      this.wait = { since: now, lastAt: now, longestMs: lagMs };
-      this.log('Requests wait for the processor.', { lagMs: Math.round(lagMs) });
+    if (!this.period) {
+      this.period = { since: now, lastLagAt: now, maxLagMs: lagMs };
+      this.log('Requests are delayed by event-loop lag.', { lagMs: Math.round(lagMs) });
     }
-    this.wait.lastAt = now;
-    this.wait.longestMs = Math.max(this.wait.longestMs, lagMs);
+    this.period.lastLagAt = now;
+    this.period.maxLagMs = Math.max(this.period.maxLagMs, lagMs);
   }
 
-  private ended({ since, lastAt, longestMs }: Wait): void {
-    this.wait = undefined;
-    this.log('Requests no longer wait for the processor.', {
-      longestLagMs: Math.round(longestMs),
-      forMs: Math.round(lastAt - since),
+  private endPeriod({ since, lastLagAt, maxLagMs }: LagPeriod): void {
+    this.period = undefined;
+    this.log('Requests are no longer delayed by event-loop lag.', {
+      longestLagMs: Math.round(maxLagMs),
+      forMs: Math.round(lastLagAt - since),
     });
   }
 }
--- a/packages/daemon/src/proofRounds.ts
+++ b/packages/daemon/src/proofRounds.ts
@@ -1,68 +1,73 @@
 /**
- * Keeps the proof young that the configuration in force is the newest: asks those that read the platform for this failure domain, and where they don't
- * help, anybody. Says when keys can't be honoured any more, and when they can again.
+ * Keeps the freshness proof of the configuration recent. A proof shows that the active configuration was the newest one
+ * at some moment. The daemon asks the daemons that read the platform for its failure domain, and any other daemon if
+ * these don't help. Logs when API keys are no longer accepted for lack of a proof, and when they are accepted again.
  */
 import { type Clock, type Random } from '@cleatquay/clock';
 import { type Freshness } from '@cleatquay/configuration';
 import { type Membership } from '@cleatquay/membership';
 import { type Readers } from './readers.js';
 
-/** Parts of the bound: how often a daemon asks, how often one of each failure domain reads the platform, and how long others wait there for changes. */
-const ASK_PART = 1 / 12;
-const READ_PART = 1 / 4;
-const WAIT_PART = 1 / 2;
-/** A proof of this part of the bound means that those who were asked don't help. */
-const OLD_PART = 1 / 2;
-/** Part of the bound after which a proof holds no more: clocks of two VMs may differ by some hundredths. */
-const TRUSTED_PART = 0.96;
+/**
+ * Fractions of the revocation time: how often a daemon asks for a proof, how often one daemon of each failure domain
+ * reads the platform, and how long the other readers wait there for a change.
+ */
+const ASK_INTERVAL_RATIO = 1 / 12;
+const READ_INTERVAL_RATIO = 1 / 4;
+const MAX_WAIT_RATIO = 1 / 2;
+/** A proof as old as this fraction of the revocation time means that the proof sources don't help. */
+const STALE_RATIO = 1 / 2;
+/** Fraction of the revocation time for which a proof is valid: the clocks of two VMs may run a few percent apart. */
+const VALID_RATIO = 0.96;
 
-/** What the rounds need of their daemon. */
-export interface ProofRoundsOptions {
+/** Dependencies of the renewer. */
+export interface ProofRenewerOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly freshness: Freshness;
-  readonly readers: Pick<Readers, 'provers' | 'isReader' | 'isFirstReader'>;
+  readonly readers: Pick<Readers, 'proofSources' | 'isReader' | 'isFirstReader'>;
   readonly membership: Pick<Membership, 'ask' | 'randomAlive' | 'table'>;
-  /** How long after it was taken away a key may still be honoured, ms. */
-  readonly boundMs: number;
+  /** Longest time for which a key may be accepted after it was revoked, ms. */
+  readonly revocationMs: number;
   /** Whether requests need keys. */
   readonly needsKeys: () => boolean;
   readonly log: (message: string, facts: object) => void;
 }
 
-/** One task that asks for as long as the daemon runs. */
-export class ProofRounds implements AsyncDisposable {
+/** Periodic task that renews the freshness proof while the daemon runs. */
+export class ProofRenewer implements AsyncDisposable {
   private readonly stopped = new AbortController();
   private running: Promise<void> = Promise.resolve();
-  private wasProven = false;
+  private hadValidProof = false;
 
-  constructor(private readonly options: ProofRoundsOptions) {}
+  constructor(private readonly options: ProofRenewerOptions) {}
 
-  /** Starts to ask. */
+  /** Starts the task. */
   start(): void {
-    this.running = this.askForever();
+    this.running = this.renewPeriodically();
   }
 
-  /** Whether keys may be honoured now. */
-  get isProven(): boolean {
-    return this.options.freshness.ageMs < this.options.boundMs * TRUSTED_PART;
+  /** Whether the proof is recent enough to accept keys. */
+  get hasValidProof(): boolean {
+    return this.options.freshness.ageMs < this.options.revocationMs * VALID_RATIO;
   }
 
   /**
-   * How often this daemon reads the platform to prove for others, ms; undefined for one that leaves it to the first reader of its failure domain. Another reader
-   * does in its place where nothing is heard of that.
+   * How often this daemon reads the platform to obtain proofs for its failure domain, ms; undefined if it leaves that to
+   * the first reader of the failure domain. The other readers start to read when the proof has become so old that the
+   * first reader seems to have failed.
    */
   get paceMs(): number | undefined {
-    const { boundMs, readers, freshness, needsKeys } = this.options;
-    const paceMs = boundMs * READ_PART;
+    const { revocationMs, readers, freshness, needsKeys } = this.options;
+    const intervalMs = revocationMs * READ_INTERVAL_RATIO;
     if (!needsKeys()) return undefined;
-    const isMissing = readers.isReader && freshness.ageMs > 2 * paceMs;
-    return readers.isFirstReader || isMissing ? paceMs : undefined;
+    const isFirstReaderMissing = readers.isReader && freshness.ageMs > 2 * intervalMs;
+    return readers.isFirstReader || isFirstReaderMissing ? intervalMs : undefined;
   }
 
-  /** How long a reader of the platform may wait for a change before it looks whether it should prove instead, ms. */
+  /** How long a platform reader may wait for a change before it checks whether to obtain proofs instead, ms. */
   get longestWaitMs(): number {
-    return this.options.needsKeys() ? this.options.boundMs * WAIT_PART : Number.POSITIVE_INFINITY;
+    return this.options.needsKeys() ? this.options.revocationMs * MAX_WAIT_RATIO : Number.POSITIVE_INFINITY;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -70,34 +75,34 @@
     await this.running;
   }
 
-  private async askForever(): Promise<void> {
-    const { clock, boundMs, needsKeys } = this.options;
+  private async renewPeriodically(): Promise<void> {
+    const { clock, revocationMs, needsKeys } = this.options;
     while (!this.stopped.signal.aborted) {
-      if (needsKeys()) this.round();
-      await clock.sleep(boundMs * ASK_PART, this.stopped.signal);
+      if (needsKeys()) this.renew();
+      await clock.sleep(revocationMs * ASK_INTERVAL_RATIO, this.stopped.signal);
     }
   }
 
-  private round(): void {
-    const { freshness, boundMs, readers, random, membership } = this.options;
+  private renew(): void {
+    const { freshness, revocationMs, readers, random, membership } = this.options;
     const { ageMs } = freshness;
-    this.noteChange(ageMs);
-    if (ageMs < boundMs * ASK_PART) return;
-    const { provers } = readers;
-    const prover = provers[Math.floor(random() * provers.length)];
-    const near = membership.table.get(prover ?? '')?.gossipAddress;
-    if (near !== undefined) membership.ask(near);
-    if (ageMs < boundMs * OLD_PART) return;
+    this.logTransition(ageMs);
+    if (ageMs < revocationMs * ASK_INTERVAL_RATIO) return;
+    const { proofSources } = readers;
+    const source = proofSources[Math.floor(random() * proofSources.length)];
+    const sourceAddress = membership.table.get(source ?? '')?.gossipAddress;
+    if (sourceAddress !== undefined) membership.ask(sourceAddress);
+    if (ageMs < revocationMs * STALE_RATIO) return;
     for (const { gossipAddress } of membership.randomAlive(1)) membership.ask(gossipAddress);
   }
 
-  private noteChange(ageMs: number): void {
-    const { isProven } = this;
-    if (isProven === this.wasProven) return;
-    this.wasProven = isProven;
-    const message = isProven
-      ? 'Keys are honoured.'
-      : 'Keys are not honoured: nothing shows that none was taken away.';
+  private logTransition(ageMs: number): void {
+    const { hasValidProof } = this;
+    if (hasValidProof === this.hadValidProof) return;
+    this.hadValidProof = hasValidProof;
+    const message = hasValidProof
+      ? 'API keys are accepted.'
+      : 'API keys are not accepted: there is no recent proof that none was revoked.';
     this.options.log(message, { proofAgeMs: Math.round(ageMs) });
   }
 }
--- a/packages/daemon/src/rateLimits.ts
+++ b/packages/daemon/src/rateLimits.ts
@@ -1,24 +1,24 @@
-/** The rate limits of upstreams, which outlast a time in which an upstream is out: it may be heard again as the same start. */
+/** Rate limits of upstreams. They outlast the removal of an upstream, which may come back as the same start. */
 import { RateLimit } from '@cleatquay/admission';
 import { type Clock } from '@cleatquay/clock';
 
-/** Starts that are kept in mind: more than one VM sees in the minutes for which an upstream may be out. */
-const MOST_STARTS = 100;
+/** Number of starts remembered. One VM sees fewer in the minutes for which an upstream may be removed. */
+const MAX_STARTS = 100;
 
-/** By start. */
+/** Rate limits by start. */
 export class RateLimits {
   private readonly byStart = new Map<string, RateLimit>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** The limit of a start; the one that was added first makes room for a new one. */
-  of(start: string): RateLimit {
+  /** Returns the limit of a start. Creates it if needed, and then evicts the oldest one if there are too many. */
+  forStart(start: string): RateLimit {
     const known = this.byStart.get(start);
     if (known) return known;
     const rate = new RateLimit(this.clock);
     this.byStart.set(start, rate);
     const [oldest] = this.byStart.keys();
-    if (this.byStart.size > MOST_STARTS && oldest !== undefined) this.byStart.delete(oldest);
+    if (this.byStart.size > MAX_STARTS && oldest !== undefined) this.byStart.delete(oldest);
     return rate;
   }
 }
--- a/packages/daemon/src/readers.ts
+++ b/packages/daemon/src/readers.ts
@@ -1,67 +1,71 @@
 /**
- * Which daemons read the platform: a few of each failure domain, by hash order, so that none has to be elected. And what follows from it for one
- * daemon: whether it reads, whom it asks for what others have read, and how long it waits before it asks.
+ * Selects the daemons that read the platform: a few of each failure domain, in the order of a hash, so that no election
+ * is needed. From this follows for one daemon whether it reads, which peers it asks for what others have read, and how
+ * long it waits before it asks.
  */
 import { type Clock } from '@cleatquay/clock';
 import { type Membership } from '@cleatquay/membership';
 import { type Member } from '@cleatquay/protocol';
 import { crc32 } from 'node:zlib';
 
-/** Readers of a failure domain: one may fail without anybody noticing. */
-const READERS = 2;
+/** Readers of each failure domain. With two, one may fail without any delay for the others. */
+const READERS_PER_DOMAIN = 2;
 /**
- * Those that are next in order read in place of readers whose own reads fail: the platform may reject some daemons and serve others. Without them
- * a failure domain that is cut off from the others hears of a change at the next look. So many and no more, since an outage for all would
- * make every daemon ask in turn. While the reads of all of them fail, all of them try, since it may be others by now that are rejected.
+ * Daemons, next in the order, that replace readers whose own reads fail: the platform may reject some daemons and serve
+ * others. Without them, a failure domain partitioned from the others would learn of a change only at its next periodic
+ * read. The number is limited, since in a complete outage every daemon would otherwise try in turn. While the reads of
+ * all readers and fallback readers fail, all of them keep trying, since the platform may now reject other daemons.
  */
-const STAND_INS = 4;
-/** How long a reader has for a version that a peer has, before it asks the peer, ms. */
-const READER_PATIENCE_MS = 400;
+const FALLBACK_READERS = 4;
+/** How long a reader tries to read a version from the platform before it fetches it from a peer, ms. */
+const READER_FETCH_DELAY_MS = 400;
 /**
- * How long a daemon waits for a version that a peer in another failure domain has, ms: by then the readers of its own have it from the
- * platform, and what goes between failure domains is dear.
+ * Delay before a version is fetched from a peer in another failure domain, ms. By then the readers of this daemon's own
+ * failure domain have read it from the platform, and traffic between failure domains is expensive.
  */
-const FAR_PEER_PATIENCE_MS = 150;
+const OTHER_DOMAIN_FETCH_DELAY_MS = 150;
 /**
- * The waits of all readers of the fleet end so far from each other, ms, however many they are. An open connection to the platform may fall
- * silent for good while new ones work, which shows only when a wait has ended: one of them does within this time, and its daemon tells the
- * others. A change is to be in force within 2 s, and within 3 s of such a silence. Shorter ones cost calls: there is
- * one a second for the whole fleet.
+ * Time between the ends of the long polls of any two readers of the fleet, ms, however many readers there are. An open
+ * connection to the platform may stop responding for good while new ones work, and that shows only when a poll ends. So
+ * one poll ends within this time, and its daemon informs the others. A change must be active within 2 s, or within 3 s
+ * if connections stopped responding. A shorter time would cost more calls: this one makes one call a second for the
+ * whole fleet.
  */
-const WAIT_STEP_MS = 1000;
+const WAIT_STAGGER_MS = 1000;
 /**
- * Pause after a read that failed, ms for each reader of the failure domain: one of them asks about so often, below the 2 s within which a change has to
- * be in force after the platform's return, and they ask no more often the more of them there are. While the platform rejects other
- * daemons each second, a change may have to wait for the end of a pause.
+ * Delay after a failed read, ms for each reader of the failure domain. So one of the readers retries about once in this
+ * time, however many there are. That is less than the 2 s within which a change must be active once the platform is
+ * available again. While the platform rejects different daemons each second, a change may be delayed until the end of
+ * such a delay.
  */
-const PAUSE_STEP_MS = 1000;
-/** A daemon that is no reader waits as long as one of so many readers. */
-const USUAL_READERS = 6;
-/** Daemons that ask one other how lately its configuration was the newest, at most; readers have as many each. */
-const ASKERS = 16;
-/** A daemon that has heard nobody for so long reads for itself, ms: others ask and answer it about twice a second. */
-const ALONE_AFTER_MS = 1500;
+const RETRY_DELAY_PER_READER_MS = 1000;
+/** Assumed number of readers for the wait of a daemon that is not a reader. */
+const TYPICAL_READERS = 6;
+/** Maximum number of daemons that ask the same daemon for freshness proofs. For readers it applies to each. */
+const MAX_ASKERS_PER_DAEMON = 16;
+/** A daemon that received nothing from others for this time reads for itself, ms. Usually it hears from them about twice a second. */
+const ISOLATED_AFTER_MS = 1500;
 
 /**
- * The readers of a failure domain, as this view of the fleet has it: two whose reads succeed, or all that may stand in where there are none. Two
- * views that differ only cost some reads.
+ * Returns the readers of a failure domain in this view of the fleet: two whose reads succeed or, if there are none, all
+ * readers and fallback readers. If the views of two daemons differ, that only causes some additional reads.
  */
 export function readersOf(failureDomain: string, members: Iterable<Member>): string[] {
-  const first = ranksOf(failureDomain, members).slice(0, READERS + STAND_INS);
-  const reaching = first.filter(({ isPlatformLost }) => !isPlatformLost);
-  const chosen = reaching.length > 0 ? reaching.slice(0, READERS) : first;
+  const candidates = rankedMembers(failureDomain, members).slice(0, READERS_PER_DOMAIN + FALLBACK_READERS);
+  const connected = candidates.filter(({ isPlatformLost }) => !isPlatformLost);
+  const chosen = connected.length > 0 ? connected.slice(0, READERS_PER_DOMAIN) : candidates;
   return chosen.map(({ address }) => address);
 }
 
-interface Ranked {
+interface RankedMember {
   readonly address: string;
   readonly rank: number;
   readonly isPlatformLost: boolean;
 }
 
-/** The daemons of a failure domain that are up, in an order that all share. */
-function ranksOf(failureDomain: string, members: Iterable<Member>): Ranked[] {
-  const ranked: Ranked[] = [];
+/** The daemons of a failure domain that are up, in the same order on all daemons. */
+function rankedMembers(failureDomain: string, members: Iterable<Member>): RankedMember[] {
+  const ranked: RankedMember[] = [];
   for (const { address, failureDomain: domain, state, isPlatformLost } of members) {
     if (state === 'ALIVE' && domain === failureDomain)
       ranked.push({ address, rank: crc32(address), isPlatformLost });
@@ -69,7 +73,7 @@
   return ranked.sort((a, b) => a.rank - b.rank);
 }
 
-/** The readers as one daemon sees them. */
+/** The platform readers as seen by one daemon. */
 export class Readers {
   constructor(
     private readonly clock: Clock,
@@ -77,82 +81,87 @@
     private readonly failureDomain: string,
   ) {}
 
-  /** Whether this daemon is one of those of its failure domain. */
+  /** Whether this daemon is a reader of its failure domain. */
   get isReader(): boolean {
-    return this.near.includes(this.membership.me.address);
+    return this.sameDomainReaders.includes(this.membership.me.address);
   }
 
-  /** Whether this daemon is the first of them. */
+  /** Whether this daemon is the first reader of its failure domain. */
   get isFirstReader(): boolean {
-    return this.near[0] === this.membership.me.address;
+    return this.sameDomainReaders[0] === this.membership.me.address;
   }
 
-  /** Whether this daemon has to read now: as a reader, or because it is alone. Before it has heard of others it doesn't know yet. */
+  /**
+   * Whether this daemon must read the platform now: as a reader, or because it is isolated. While it knows no other
+   * members yet, it can't tell whether it is a reader.
+   */
   get isOnDuty(): boolean {
-    const isAlone = this.clock.now() - this.membership.lastHeardAt > ALONE_AFTER_MS;
-    return isAlone || (this.membership.aliveCount() > 0 && this.isReader);
+    const isIsolated = this.clock.now() - this.membership.lastHeardAt > ISOLATED_AFTER_MS;
+    return isIsolated || (this.membership.aliveCount() > 0 && this.isReader);
   }
 
   /**
-   * Whom to ask for what these peers say that they have: those of this failure domain, then its readers, who most likely have read it, too,
-   * and only then the others, since what goes between failure domains is dear.
+   * Returns the order in which to ask peers for a version that `holders` report to have: first the holders in this
+   * failure domain, then its readers, which most likely have read it as well, and last the holders elsewhere, since
+   * traffic between failure domains is expensive.
    */
   inOrder(holders: readonly string[]): readonly string[] {
-    const near = holders.filter(peer => this.isNear(peer));
-    const far = holders.filter(peer => !this.isNear(peer));
-    const readers = this.near.filter(address => address !== this.membership.me.address);
-    return [...new Set([...near, ...readers, ...far])];
+    const sameDomain = holders.filter(peer => this.isInSameDomain(peer));
+    const otherDomain = holders.filter(peer => !this.isInSameDomain(peer));
+    const readers = this.sameDomainReaders.filter(address => address !== this.membership.me.address);
+    return [...new Set([...sameDomain, ...readers, ...otherDomain])];
   }
 
-  /** How long to wait for what a peer says that it has before asking for it, ms. */
+  /** Delay before fetching a version from a peer that reports to have it, ms. */
   patienceMs(peer: string): number {
-    if (this.isReader) return READER_PATIENCE_MS;
-    return this.isNear(peer) ? 0 : FAR_PEER_PATIENCE_MS;
+    if (this.isReader) return READER_FETCH_DELAY_MS;
+    return this.isInSameDomain(peer) ? 0 : OTHER_DOMAIN_FETCH_DELAY_MS;
   }
 
   /**
-   * How long this daemon's next wait for the platform lasts, ms. A change ends the waits of all readers at once: the first ones after it are
-   * of different lengths, and the later ones as long as there are readers, which keeps their ends apart.
+   * Duration of this daemon's next long poll of the platform, ms. A change ends the polls of all readers at once. So the
+   * first polls after it differ in duration. The later ones have the same, proportional to the number of readers, which
+   * keeps their ends apart.
    */
   waitMs(isFirst: boolean): number {
-    const readers = this.all;
+    const readers = this.allReaders;
     const place = readers.indexOf(this.membership.me.address);
-    if (place < 0) return USUAL_READERS * WAIT_STEP_MS;
-    return (isFirst ? place + 1 : readers.length) * WAIT_STEP_MS;
+    if (place < 0) return TYPICAL_READERS * WAIT_STAGGER_MS;
+    return (isFirst ? place + 1 : readers.length) * WAIT_STAGGER_MS;
   }
 
   /**
-   * Whom this daemon asks how lately their configuration was the newest: the readers of its failure domain, or in a large one a daemon nearer to them, so that
-   * nobody is asked by many.
+   * The daemons that this one asks for freshness proofs: the readers of its failure domain, or in a large one a daemon
+   * that ranks between them and this one, so that no daemon is asked by too many.
    */
-  get provers(): readonly string[] {
-    const { near } = this;
-    const others = near.filter(address => address !== this.membership.me.address);
-    const ranked = ranksOf(this.failureDomain, this.membership.table.all());
+  get proofSources(): readonly string[] {
+    const { sameDomainReaders } = this;
+    const others = sameDomainReaders.filter(address => address !== this.membership.me.address);
+    const ranked = rankedMembers(this.failureDomain, this.membership.table.all());
     const place = ranked.findIndex(({ address }) => address === this.membership.me.address);
-    if (place < (ASKERS + 1) * near.length) return others;
+    if (place < (MAX_ASKERS_PER_DAEMON + 1) * sameDomainReaders.length) return others;
     return ranked
-      .slice(Math.floor(place / ASKERS), Math.floor(place / ASKERS) + 1)
+      .slice(Math.floor(place / MAX_ASKERS_PER_DAEMON), Math.floor(place / MAX_ASKERS_PER_DAEMON) + 1)
       .map(({ address }) => address);
   }
 
-  /** How long this daemon pauses after a read of the platform that failed, ms. */
+  /** Delay after a failed read of the platform, ms. */
   get pauseMs(): number {
-    return Math.max(1, this.near.length) * PAUSE_STEP_MS;
+    return Math.max(1, this.sameDomainReaders.length) * RETRY_DELAY_PER_READER_MS;
   }
 
-  /** The readers of all failure domains, in an order that all daemons share. */
-  private get all(): string[] {
+  /** The readers of all failure domains, in the same order on all daemons. */
+  private get allReaders(): string[] {
     const members = [...this.membership.table.all()];
     const domains = [...new Set(members.map(({ failureDomain }) => failureDomain))].sort();
     return domains.flatMap(domain => readersOf(domain, members));
   }
 
-  private get near(): string[] {
+  private get sameDomainReaders(): string[] {
     return readersOf(this.failureDomain, this.membership.table.all());
   }
 
-  private isNear(peer: string): boolean {
+  private isInSameDomain(peer: string): boolean {
     return this.membership.table.get(peer)?.failureDomain === this.failureDomain;
   }
 }
--- a/packages/daemon/src/slowRates.ts
+++ b/packages/daemon/src/slowRates.ts
@@ -1,56 +1,59 @@
 /**
- * Looks whether an upstream that takes next to nothing still does. It says so in its answers only, and at a rate of 0
- * there would be none.
+ * Probes an upstream with a very low rate limit for a change of that limit. An upstream reports its limit only in
+ * responses, and at a limit of 0 it would get no request to respond to.
  */
 import { type RateLimit } from '@cleatquay/admission';
 import { type AnswerNotice } from '@cleatquay/calls';
 import { type Clock } from '@cleatquay/clock';
 
-/** Pause between looks, ms. */
-const PAUSE_MS = 2500;
-/** From this rate on requests are frequent enough to tell, a second. */
-const TELLING_RATE = 0.5;
+/** Time between probes, ms. */
+const PROBE_INTERVAL_MS = 2500;
+/** At this rate and above, regular requests are frequent enough to notice a change. */
+const PROBE_BELOW_PER_SECOND = 0.5;
 
-/** What a look needs. */
-export interface SlowRateOptions {
+/** Dependencies of the probe. */
+export interface SlowRateProbeOptions {
   readonly clock: Clock;
   readonly rate: RateLimit;
-  /** Whether the upstream is still the one beside this daemon. */
-  readonly isHere: () => boolean;
-  /** What its health check says of it; undefined if it has none. Fails if it gives no answer. */
-  readonly ask: () => Promise<AnswerNotice | undefined>;
+  /** Whether the upstream is still registered at this daemon. */
+  readonly isRegistered: () => boolean;
+  /** Returns the notice of the upstream's health check; undefined if it has none. Rejects if there is no response. */
+  readonly fetchNotice: () => Promise<AnswerNotice | undefined>;
 }
 
-/** Follows one upstream while its rate is slow. */
-export class SlowRate {
-  private isWatched = false;
+/** Probes one upstream for as long as its rate limit is low. */
+export class SlowRateProbe {
+  private isScheduled = false;
 
-  constructor(private readonly options: SlowRateOptions) {}
+  constructor(private readonly options: SlowRateProbeOptions) {}
 
-  /** Its rate may have changed. What only others have heard is best looked into at once, but once. */
-  check(when: 'at once' | 'later' = 'later'): void {
-    if (this.isWatched || !this.isSlow) return;
-    this.isWatched = true;
-    this.options.clock.after(when === 'at once' ? 0 : PAUSE_MS, () => void this.look());
+  /**
+   * Schedules a probe if the rate limit is low. A limit that was first reported by a peer is verified `now`; later
+   * reports of it don't repeat that.
+   */
+  schedule(when: 'now' | 'later' = 'later'): void {
+    if (this.isScheduled || !this.isSlow) return;
+    this.isScheduled = true;
+    this.options.clock.after(when === 'now' ? 0 : PROBE_INTERVAL_MS, () => void this.probe());
   }
 
   private get isSlow(): boolean {
-    const { rate, isHere } = this.options;
-    return isHere() && rate.perSecond !== undefined && rate.perSecond < TELLING_RATE;
+    const { rate, isRegistered } = this.options;
+    return isRegistered() && rate.perSecond !== undefined && rate.perSecond < PROBE_BELOW_PER_SECOND;
   }
 
-  /** A health check that names no rate doesn't end one: a request that goes through tells. */
-  private async look(): Promise<void> {
-    const { rate, ask } = this.options;
-    const answered =
+  /** A health check without a rate limit doesn't end the limit: the response to one regular request decides. */
+  private async probe(): Promise<void> {
+    const { rate, fetchNotice } = this.options;
+    const response =
       this.isSlow &&
-      (await ask()
+      (await fetchNotice()
         .then(notice => ({ notice }))
         .catch(() => undefined));
-    const rateLimit = answered ? answered.notice?.rateLimit : undefined;
+    const rateLimit = response ? response.notice?.rateLimit : undefined;
     if (typeof rateLimit === 'number') rate.named(rateLimit);
-    else if (answered) rate.allowOne();
-    this.isWatched = false;
-    this.check();
+    else if (response) rate.allowOne();
+    this.isScheduled = false;
+    this.schedule();
   }
 }
--- a/packages/daemon/src/starts.ts
+++ b/packages/daemon/src/starts.ts
@@ -1,27 +1,28 @@
 /**
- * Starts of upstreams to keep in mind. An upstream may be started again under the id that it had; it then knows nothing of before, so that what
- * was said of an earlier start doesn't hold for it, and what the earlier one said arrives late.
+ * Remembers starts of upstreams. A start is one process lifetime of an upstream instance, identified by the instance id
+ * and its start time. A restarted upstream may have the id that it had before. It knows nothing of its earlier start: what
+ * was reported of the earlier one doesn't apply to it, and messages of the earlier one may still arrive late.
  */
 import { type Departure } from '@cleatquay/membership';
 
-/** Instances that are kept in mind: more than one VM sees in the minutes for which a word may be late. */
-const MOST_INSTANCES = 100;
+/** Number of instances remembered. One VM sees fewer in the minutes by which a message may be delayed. */
+const MAX_INSTANCES = 100;
 
-/** The latest start of each instance. */
-export class Starts {
-  private readonly bornOf = new Map<string, number>();
+/** The latest start of each instance that was added. */
+export class InstanceStarts {
+  private readonly bornByInstance = new Map<string, number>();
 
-  /** Keeps a start in mind; the instance that was added first makes room. An upstream without an id can't be told apart. */
+  /** Adds a start, and evicts the instance that was added first if there are too many. Ignores upstreams without an id. */
   add({ instanceId, born }: Departure): void {
     if (instanceId === '') return;
-    this.bornOf.set(instanceId, Math.max(born, this.latest(instanceId)));
-    const [oldest] = this.bornOf.keys();
-    if (this.bornOf.size > MOST_INSTANCES && oldest !== undefined) this.bornOf.delete(oldest);
+    this.bornByInstance.set(instanceId, Math.max(born, this.latest(instanceId)));
+    const [oldest] = this.bornByInstance.keys();
+    if (this.bornByInstance.size > MAX_INSTANCES && oldest !== undefined) this.bornByInstance.delete(oldest);
   }
 
   /** Whether this start, or a later one of the same instance, was added. */
   has({ instanceId, born }: Departure): boolean {
-    return (this.bornOf.get(instanceId) ?? Number.NEGATIVE_INFINITY) >= born;
+    return (this.bornByInstance.get(instanceId) ?? Number.NEGATIVE_INFINITY) >= born;
   }
 
   /** Whether a later start of the same instance was added. */
@@ -29,13 +30,13 @@
     return this.latest(instanceId) > born;
   }
 
-  /** When the latest start that was added was, Unix ms; 0 if there is none. */
+  /** Start time of the latest start that was added for an instance, Unix ms; 0 if there is none. */
   latest(instanceId: string): number {
-    return this.bornOf.get(instanceId) ?? 0;
+    return this.bornByInstance.get(instanceId) ?? 0;
   }
 
-  /** All of them. */
+  /** The latest start of each instance. */
   get all(): Departure[] {
-    return [...this.bornOf].map(([instanceId, born]) => ({ instanceId, born }));
+    return [...this.bornByInstance].map(([instanceId, born]) => ({ instanceId, born }));
   }
 }
--- a/packages/daemon/src/upstreamHealth.ts
+++ b/packages/daemon/src/upstreamHealth.ts
@@ -1,21 +1,21 @@
-/** Asks an upstream for its health. */
+/** Requests the health check of an upstream. */
 import { type IncomingHttpHeaders } from 'node:http';
 import { request } from 'undici';
 
-/** A health check that takes longer isn't waited for, ms: an upstream that has room answers much sooner. */
+/** Timeout of a health check, ms. An upstream with free capacity responds much sooner. */
 const HEALTH_TIMEOUT_MS = 500;
-const HEALTHY = 200;
+const HEALTHY_STATUS = 200;
 
-/** What an upstream answered. */
-export interface Health {
+/** The response to a health check. */
+export interface HealthStatus {
   readonly isHealthy: boolean;
   readonly headers: IncomingHttpHeaders;
 }
 
-/** Asks at an address, ip:port; fails where nothing answers in time. */
-export async function askHealth(address: string, path: string): Promise<Health> {
+/** Requests the health check at an address, ip:port. Rejects if there is no response in time. */
+export async function askHealth(address: string, path: string): Promise<HealthStatus> {
   const signal = AbortSignal.timeout(HEALTH_TIMEOUT_MS);
   const { statusCode, headers, body } = await request(`http://${address}${path}`, { signal });
   await body.dump();
-  return { isHealthy: statusCode === HEALTHY, headers };
+  return { isHealthy: statusCode === HEALTHY_STATUS, headers };
 }
--- a/packages/daemon/src/upstreams.ts
+++ b/packages/daemon/src/upstreams.ts
@@ -1,141 +1,142 @@
-/** The upstreams that announced themselves to this daemon. */
+/** Registry of the upstreams that announced themselves to this daemon. */
 import { Admission, RouteCosts } from '@cleatquay/admission';
 import { type AnswerNotice, type LocalUpstream, UpstreamConnections, isRate } from '@cleatquay/calls';
 import { type Clock, type Random, type Timer } from '@cleatquay/clock';
 import { type Departure, type KnownUpstream } from '@cleatquay/membership';
 import { type Upstream, type UpstreamNotice } from '@cleatquay/protocol';
-import { type Announcement, checkAnnouncement, isSameStart, startOf } from './announcement.js';
+import { type Announcement, checkAnnouncement, isSameStart, startIdOf } from './announcement.js';
 import { NoticeLog } from './noticeLog.js';
 import { RateLimits } from './rateLimits.js';
-import { SlowRate } from './slowRates.js';
-import { Starts } from './starts.js';
+import { SlowRateProbe } from './slowRates.js';
+import { InstanceStarts } from './starts.js';
 
-/** Heartbeats that may be missing before an upstream is taken for gone. */
-const MISSED_HEARTBEATS = 3;
+/** Number of missed heartbeats after which an upstream is removed. */
+const MAX_MISSED_HEARTBEATS = 3;
 /**
- * An instance that another one took the place of stays out until that one has missed so many heartbeats: a heartbeat
- * that was held up on its way may arrive after its sender has ended and the next instance has announced itself.
+ * A replaced instance is not registered again until its successor has missed this many heartbeats: a delayed heartbeat
+ * of the replaced instance may arrive after that has ended and its successor has announced itself.
  */
-const SILENT_HEARTBEATS = 2;
+const SUCCESSOR_TIMEOUT_HEARTBEATS = 2;
 
-/** A timer may go off so much early, ms. */
-const TIMER_MARGIN_MS = 2;
+/** A timer may fire this much early, ms. */
+const TIMER_TOLERANCE_MS = 2;
 
-interface Announced extends LocalUpstream, AsyncDisposable {
+interface RegisteredUpstream extends LocalUpstream, AsyncDisposable {
   announcement: Announcement;
   readonly admission: Admission;
   readonly connections: UpstreamConnections;
   isDraining: boolean;
-  drainedByOperator: boolean;
-  /** It said in an answer that it leaves. Holds for this start of it, whatever its announcements say. */
-  hasSaidLeaving: boolean;
+  isDrainedByOperator: boolean;
+  /** It reported in a response that it is shutting down. Holds for this start, whatever its announcements report. */
+  hasReportedLeaving: boolean;
   readonly noticeLog: NoticeLog;
-  readonly slowRate: SlowRate;
-  silence: Timer;
-  /** Clock time of its last heartbeat, ms. */
-  heardAt: number;
+  readonly slowRateProbe: SlowRateProbe;
+  heartbeatTimer: Timer;
+  /** Clock time of the last heartbeat, ms. */
+  lastHeartbeatAt: number;
 }
 
-/** What the registry needs of its daemon. */
+/** Dependencies of the registry. */
 export interface UpstreamsOptions {
   readonly clock: Clock;
   readonly random: Random;
-  /** False for the plain path: everything is passed on at once. */
+  /** False in passthrough mode, in which every request is forwarded at once. */
   readonly protection: boolean;
   /** How often upstreams announce themselves, ms. */
   readonly heartbeatMs: number;
-  /** Whether an upstream that was not seen before starts with few slots, or is trusted with all. */
+  /** Whether a new upstream starts with few slots, or with all that it announces. */
   readonly slowStart: boolean;
-  /** Number of importance classes. */
+  /** Number of priority classes. */
   readonly classes: () => number;
-  /** Bounds that the configuration in force puts on a service's upstreams. */
+  /** Limits that the active configuration sets for the upstreams of a service. */
   readonly bounds: (service: string) => UpstreamBounds;
-  /** Fails for an announced address at which this daemon may not look for an upstream. */
+  /** Rejects for an announced address that this daemon must not use for an upstream. */
   readonly checkAddress: (address: string) => Promise<void>;
-  /** What the health check of an upstream says of it; undefined if it has none. */
+  /** Returns the notice of an upstream's health check; undefined if it has none. */
   readonly askNotice: (service: string, address: string) => Promise<AnswerNotice | undefined>;
-  /** Told when a start is known to leave, other than by an announcement. */
+  /** Called when a start becomes known to be shutting down, other than by an announcement. */
   readonly onDeparture: () => void;
-  /** Told whenever what the fleet should know has changed. */
+  /** Called when the list that is published to the fleet has changed. */
   readonly onChange: (upstreams: Upstream[]) => void;
   readonly log: (message: string, facts: object) => void;
 }
 
-/** What a configuration says of one upstream of a service. */
+/** Limits that a configuration sets for each upstream of a service. */
 export interface UpstreamBounds {
-  /** Work that it runs at once, if it announces more. */
+  /** Maximum number of slots, if the upstream announces more. */
   readonly slots?: number | undefined;
-  /** Connections that it takes, if it announces more. */
+  /** Maximum number of connections, if the upstream announces more. */
   readonly connections?: number | undefined;
-  /** Longest standing delay of its queue, ms. */
+  /** Maximum persistent delay of its queue, ms. */
   readonly maxQueueMs: number;
 }
 
-/** Upstreams by service; one that has missed its heartbeats goes. */
+/** Registered upstreams by service. Those that miss their heartbeats are removed. */
 export class Upstreams implements AsyncDisposable {
-  /** Answers that the upstreams here gave, and those that named a rate limit. */
+  /** Responses of the local upstreams, and how many of them reported a rate limit. */
   readonly counts = { answers: 0, withRateLimit: 0 };
-  private readonly byService = new Map<string, Announced>();
-  /** The latest start of each instance that left, that was replaced, and that was heard of at all. */
-  private readonly departed = new Starts();
-  private readonly replaced = new Starts();
-  private readonly heard = new Starts();
+  private readonly byService = new Map<string, RegisteredUpstream>();
+  /** The latest start of each instance that reported that it is shutting down, that was replaced, and that was seen at all. */
+  private readonly departedStarts = new InstanceStarts();
+  private readonly replacedStarts = new InstanceStarts();
+  private readonly seenStarts = new InstanceStarts();
   private readonly rateLimits: RateLimits;
 
   constructor(private readonly options: UpstreamsOptions) {
     this.rateLimits = new RateLimits(options.clock);
   }
 
-  /** Takes an announcement, or fails saying what is wrong with it. */
+  /** Handles an announcement. Rejects with what is invalid. */
   async announce(data: unknown): Promise<void> {
     const announcement = checkAnnouncement(data);
     const known = this.byService.get(announcement.service);
     if (known && isSameStart(known.announcement, announcement)) return this.renew(known, announcement);
-    if (this.heard.hasLater(announcement)) return;
-    if (this.departed.has(announcement)) return;
-    if (this.isHeldUp(announcement)) return;
+    if (this.seenStarts.hasLater(announcement)) return;
+    if (this.departedStarts.has(announcement)) return;
+    if (this.isDelayedAnnouncement(announcement)) return;
     await this.options.checkAddress(announcement.address);
-    for (const other of this.inPlaceOf(announcement)) this.replace(other);
-    if (announcement.state === 'draining') this.departed.add(announcement);
-    this.heard.add(announcement);
+    for (const other of this.conflictingWith(announcement)) this.replace(other);
+    if (announcement.state === 'draining') this.departedStarts.add(announcement);
+    this.seenStarts.add(announcement);
     this.add(announcement);
   }
 
-  /** The upstreams that a new one takes the place of: that of its service, and whatever had its address. */
-  private inPlaceOf({ service, address }: Announcement): Announced[] {
+  /** The upstreams that a new one replaces: that of its service, and any at its address. */
+  private conflictingWith({ service, address }: Announcement): RegisteredUpstream[] {
     return [...this.byService.values()].filter(
       ({ announcement }) => announcement.service === service || announcement.address === address,
     );
   }
 
-  private replace(upstream: Announced): void {
-    this.replaced.add(upstream.announcement);
-    this.remove(upstream, 'Another took its place');
+  private replace(upstream: RegisteredUpstream): void {
+    this.replacedStarts.add(upstream.announcement);
+    this.remove(upstream, 'Another one replaced it');
   }
 
-  /** Whether this is a late word of an instance whose successor is being heard. */
-  private isHeldUp(announcement: Announcement): boolean {
-    if (!this.replaced.has(announcement)) return false;
+  /** Whether this is a delayed announcement of a replaced instance whose successor still sends heartbeats. */
+  private isDelayedAnnouncement(announcement: Announcement): boolean {
+    if (!this.replacedStarts.has(announcement)) return false;
     const { clock, heartbeatMs } = this.options;
-    const oldest = clock.now() - SILENT_HEARTBEATS * heartbeatMs;
-    return this.inPlaceOf(announcement).some(({ heardAt }) => heardAt > oldest);
+    const oldest = clock.now() - SUCCESSOR_TIMEOUT_HEARTBEATS * heartbeatMs;
+    return this.conflictingWith(announcement).some(({ lastHeartbeatAt }) => lastHeartbeatAt > oldest);
   }
 
   /**
-   * An instance says that it leaves: that start of it gets no new work from now on, whatever arrives late. If it doesn't tell its
-   * start, the latest that was heard of leaves. Says whether that was news.
+   * Marks a start as shutting down: it gets no new requests from now on, even if delayed messages of it arrive later.
+   * Without `born`, this applies to the latest start seen of the instance. Returns whether the start was not marked yet.
    */
-  leave(instanceId: string, born = this.heard.latest(instanceId)): boolean {
-    const isNew = !this.departed.has({ instanceId, born });
-    this.departed.add({ instanceId, born });
+  leave(instanceId: string, born = this.seenStarts.latest(instanceId)): boolean {
+    const isNew = !this.departedStarts.has({ instanceId, born });
+    this.departedStarts.add({ instanceId, born });
     for (const upstream of this.byService.values()) {
       const { announcement } = upstream;
-      if (announcement.instanceId === instanceId && announcement.born <= born) this.setState(upstream, true);
+      if (announcement.instanceId === instanceId && announcement.born <= born)
+        this.setLeaving(upstream, true);
     }
     return isNew;
   }
 
-  /** Upstreams that named their instance, as they announced themselves. */
+  /** The upstreams that announced an instance id. */
   get known(): KnownUpstream[] {
     return [...this.byService.values()]
       .map(({ announcement }) => announcement)
@@ -150,9 +151,9 @@
       }));
   }
 
-  /** Starts that said that they leave. */
+  /** Starts that reported that they are shutting down. */
   get departures(): Departure[] {
-    return this.departed.all;
+    return this.departedStarts.all;
   }
 
   /** The upstream of a service. */
@@ -160,16 +161,16 @@
     return this.byService.get(service);
   }
 
-  /** Drains or undrains all upstreams here. */
+  /** Drains or undrains all local upstreams. */
   setDraining(draining: boolean): void {
     for (const upstream of this.byService.values()) {
-      upstream.drainedByOperator = draining;
+      upstream.isDrainedByOperator = draining;
       upstream.isDraining = draining || this.isLeaving(upstream);
     }
-    this.changed();
+    this.notifyChange();
   }
 
-  /** What the fleet is told. */
+  /** The list that is published to the fleet. */
   list(): Upstream[] {
     return [...this.byService.values()].map(({ announcement, isDraining, admission }) => ({
       service: announcement.service,
@@ -180,13 +181,13 @@
     }));
   }
 
-  /** For metrics and dumps. */
+  /** Details for metrics and dumps. */
   dump(): {
     service: string;
     address: string;
     draining: boolean;
     load: object;
-    /** Requests a second that it names; undefined while it names none. */
+    /** Reported limit, requests a second; undefined if there is none. */
     rateLimit: number | undefined;
     counts: Record<string, number>;
   }[] {
@@ -200,24 +201,28 @@
     }));
   }
 
-  /** The lowest admission level of the upstreams here. */
+  /** The lowest admission level of the local upstreams. */
   lowestLevel(): number {
     return Math.min(...[...this.byService.values()].map(({ admission }) => admission.load().admissionLevel));
   }
 
-  /** A peer has heard what the upstream of a service said to an earlier process here. */
+  /**
+   * Applies a notice that a peer sends back: it received the notice from an earlier process of this daemon, to which the
+   * upstream of a service had reported it.
+   */
   told(service: string, { instanceId, born, requestsPerSecond, isLeaving }: UpstreamNotice): void {
-    if (isLeaving && instanceId !== '' && Number.isSafeInteger(born)) this.depart({ instanceId, born });
+    if (isLeaving && instanceId !== '' && Number.isSafeInteger(born))
+      this.reportDeparture({ instanceId, born });
     if (requestsPerSecond === undefined || !isRate(requestsPerSecond)) return;
     const upstream = this.byService.get(service);
     if (!upstream) return;
     const { rate } = upstream.admission;
-    const isNews = rate.perSecond === undefined;
+    const isFirstRate = rate.perSecond === undefined;
     rate.told(requestsPerSecond);
-    upstream.slowRate.check(isNews ? 'at once' : 'later');
+    upstream.slowRateProbe.schedule(isFirstRate ? 'now' : 'later');
   }
 
-  /** The lowest rate that an upstream here names; undefined if none does. */
+  /** The lowest rate limit that a local upstream reports; undefined if none does. */
   lowestRateLimit(): number | undefined {
     const rates = [...this.byService.values()]
       .map(({ admission }) => admission.rate.perSecond)
@@ -235,19 +240,19 @@
   private add(announcement: Announcement): void {
     const { clock, random, protection, slowStart, classes, bounds } = this.options;
     const { service, address, instanceId } = announcement;
-    const start = startOf(announcement, clock.date());
+    const start = startIdOf(announcement, clock.date());
     const admission = new Admission({
       clock,
       random,
       classes,
-      slots: this.slotsOf(announcement),
+      slots: this.effectiveSlots(announcement),
       maxQueueMs: () => bounds(service).maxQueueMs,
       cold: protection && slowStart,
-      rate: this.rateLimits.of(instanceId === '' ? address : start),
+      rate: this.rateLimits.forStart(instanceId === '' ? address : start),
     });
-    // Where nothing is declared, as many as it can use: no more requests than slots are under way at once.
+    // The default is as many as it can use: there are never more requests in flight than slots.
     const allowed = Math.min(announcement.connections, bounds(service).connections ?? announcement.slots);
-    const upstream: Announced = {
+    const upstream: RegisteredUpstream = {
       announcement,
       admission,
       costs: new RouteCosts(),
@@ -255,37 +260,37 @@
       instanceId,
       start,
       address,
-      isDraining: this.isDeparture(announcement),
-      drainedByOperator: false,
-      hasSaidLeaving: false,
+      isDraining: this.isLeavingAnnouncement(announcement),
+      isDrainedByOperator: false,
+      hasReportedLeaving: false,
       noticeLog: new NoticeLog(clock, this.options.log),
-      slowRate: new SlowRate({
+      slowRateProbe: new SlowRateProbe({
         clock,
         rate: admission.rate,
-        isHere: () => this.byService.get(service) === upstream,
-        ask: () => this.options.askNotice(service, address),
+        isRegistered: () => this.byService.get(service) === upstream,
+        fetchNotice: () => this.options.askNotice(service, address),
       }),
-      refusedConnection: () => this.remove(upstream, 'It takes no connections'),
+      refusedConnection: () => this.remove(upstream, 'It refused a connection'),
       anotherAnswers: () => this.replace(upstream),
-      heard: (notice, askedAt) => this.heardNotice(upstream, notice, askedAt),
+      heard: (notice, askedAt) => this.handleNotice(upstream, notice, askedAt),
       get notice() {
         return noticeOf(upstream);
       },
-      silence: this.watch(announcement),
-      heardAt: clock.now(),
+      heartbeatTimer: this.startHeartbeatTimer(announcement),
+      lastHeartbeatAt: clock.now(),
       [Symbol.asyncDispose]: async () => {
-        upstream.silence[Symbol.dispose]();
+        upstream.heartbeatTimer[Symbol.dispose]();
         admission[Symbol.dispose]();
         await upstream.connections[Symbol.asyncDispose]();
       },
     };
     this.byService.set(service, upstream);
-    upstream.slowRate.check();
+    upstream.slowRateProbe.schedule();
     this.options.log('An upstream announced itself.', { ...announcement });
-    this.changed();
+    this.notifyChange();
   }
 
-  private heardNotice(upstream: Announced, notice: AnswerNotice, askedAt: number): void {
+  private handleNotice(upstream: RegisteredUpstream, notice: AnswerNotice, askedAt: number): void {
     const { service, instanceId } = upstream.announcement;
     const { rateLimit } = notice;
     const { rate } = upstream.admission;
@@ -293,96 +298,99 @@
     if (typeof rateLimit === 'number') {
       this.counts.withRateLimit++;
       rate.named(rateLimit);
-      upstream.slowRate.check();
+      upstream.slowRateProbe.schedule();
     } else if (rateLimit === 'none') rate.notNamed(askedAt);
-    upstream.noticeLog.heard(notice, { service, instanceId });
-    if (notice.isLeaving && !upstream.hasSaidLeaving) this.saidLeaving(upstream);
+    upstream.noticeLog.update(notice, { service, instanceId });
+    if (notice.isLeaving && !upstream.hasReportedLeaving) this.handleLeaving(upstream);
   }
 
-  private saidLeaving(upstream: Announced): void {
+  private handleLeaving(upstream: RegisteredUpstream): void {
     const { instanceId, born } = upstream.announcement;
-    upstream.hasSaidLeaving = true;
-    this.setState(upstream, true);
-    if (instanceId !== '') this.depart({ instanceId, born });
+    upstream.hasReportedLeaving = true;
+    this.setLeaving(upstream, true);
+    if (instanceId !== '') this.reportDeparture({ instanceId, born });
   }
 
-  private depart({ instanceId, born }: Departure): void {
+  private reportDeparture({ instanceId, born }: Departure): void {
     if (this.leave(instanceId, born)) this.options.onDeparture();
   }
 
-  /** A late announcement says nothing new; one that left stays so. */
-  private renew(known: Announced, announcement: Announcement): void {
+  /** Handles a heartbeat. Ignores delayed ones; an upstream that is shutting down stays so. */
+  private renew(known: RegisteredUpstream, announcement: Announcement): void {
     if (announcement.sequence > 0 && announcement.sequence <= known.announcement.sequence) return;
-    known.silence[Symbol.dispose]();
-    known.silence = this.watch(announcement);
-    known.heardAt = this.options.clock.now();
+    known.heartbeatTimer[Symbol.dispose]();
+    known.heartbeatTimer = this.startHeartbeatTimer(announcement);
+    known.lastHeartbeatAt = this.options.clock.now();
     known.announcement = announcement;
-    known.admission.limit.announce(this.slotsOf(announcement));
-    if (announcement.state === 'draining') this.departed.add(announcement);
-    this.setState(known, this.isLeaving(known));
+    known.admission.limit.announce(this.effectiveSlots(announcement));
+    if (announcement.state === 'draining') this.departedStarts.add(announcement);
+    this.setLeaving(known, this.isLeaving(known));
   }
 
-  private setState(known: Announced, isLeaving: boolean): void {
-    const isDraining = known.drainedByOperator || isLeaving;
+  private setLeaving(known: RegisteredUpstream, isLeaving: boolean): void {
+    const isDraining = known.isDrainedByOperator || isLeaving;
     if (isDraining === known.isDraining) return;
     known.isDraining = isDraining;
-    this.options.log(isDraining ? 'An upstream is leaving.' : 'An upstream is back.', {
+    this.options.log(isDraining ? 'An upstream is draining.' : 'An upstream is no longer draining.', {
       ...known.announcement,
     });
-    this.changed();
+    this.notifyChange();
   }
 
-  private isLeaving({ announcement, hasSaidLeaving }: Announced): boolean {
-    return hasSaidLeaving || this.isDeparture(announcement);
+  private isLeaving({ announcement, hasReportedLeaving }: RegisteredUpstream): boolean {
+    return hasReportedLeaving || this.isLeavingAnnouncement(announcement);
   }
 
-  private isDeparture(announcement: Announcement): boolean {
-    return announcement.state === 'draining' || this.departed.has(announcement);
+  private isLeavingAnnouncement(announcement: Announcement): boolean {
+    return announcement.state === 'draining' || this.departedStarts.has(announcement);
   }
 
-  /** What it announces, bounded by the configuration in force and by its connections. */
-  private slotsOf({ service, slots, connections }: Announcement): number {
+  /** The announced slots, limited by the active configuration and by the connections. */
+  private effectiveSlots({ service, slots, connections }: Announcement): number {
     const { protection, bounds } = this.options;
     if (!protection) return UNLIMITED_SLOTS;
     return Math.min(slots, bounds(service).slots ?? slots, connections);
   }
 
-  /** Its silence counts while the VM is awake: when that was suspended, so was the upstream. */
-  private watch({ service, instanceId }: Announcement): Timer {
+  /**
+   * Starts the timer that removes an upstream after missed heartbeats. Only time in which the VM runs counts: while it is
+   * suspended, so is the upstream.
+   */
+  private startHeartbeatTimer({ service, instanceId }: Announcement): Timer {
     const { clock, heartbeatMs } = this.options;
-    const end = clock.awake() + MISSED_HEARTBEATS * heartbeatMs;
+    const end = clock.awake() + MAX_MISSED_HEARTBEATS * heartbeatMs;
     const check = () => {
       const upstream = this.byService.get(service);
       if (upstream?.announcement.instanceId !== instanceId) return;
       const leftMs = end - clock.awake();
-      if (leftMs > TIMER_MARGIN_MS) upstream.silence = clock.after(leftMs, check);
-      else this.remove(upstream, 'It fell silent');
+      if (leftMs > TIMER_TOLERANCE_MS) upstream.heartbeatTimer = clock.after(leftMs, check);
+      else this.remove(upstream, 'It missed its heartbeats');
     };
-    return clock.after(MISSED_HEARTBEATS * heartbeatMs, check);
+    return clock.after(MAX_MISSED_HEARTBEATS * heartbeatMs, check);
   }
 
-  private remove(upstream: Announced, why: string): void {
+  private remove(upstream: RegisteredUpstream, reason: string): void {
     const { service } = upstream.announcement;
     if (this.byService.get(service) !== upstream) return;
     this.byService.delete(service);
-    this.options.log(`An upstream is out. ${why}.`, { ...upstream.announcement });
-    this.changed();
+    this.options.log(`An upstream was removed. ${reason}.`, { ...upstream.announcement });
+    this.notifyChange();
     void Promise.resolve(upstream[Symbol.asyncDispose]()).catch((error: unknown) => {
-      this.options.log('Connections of an upstream did not close.', { reason: String(error) });
+      this.options.log('Closing the connections of an upstream failed.', { reason: String(error) });
     });
   }
 
-  private changed(): void {
+  private notifyChange(): void {
     this.options.onChange(this.list());
   }
 }
 
-/** Stands for no limit on the plain path. */
+/** Stands for no limit in passthrough mode. */
 const UNLIMITED_SLOTS = 1_000_000;
 
-function noticeOf(upstream: Announced): UpstreamNotice | undefined {
+function noticeOf(upstream: RegisteredUpstream): UpstreamNotice | undefined {
   const { perSecond } = upstream.admission.rate;
-  const isLeaving = upstream.isDraining && !upstream.drainedByOperator;
+  const isLeaving = upstream.isDraining && !upstream.isDrainedByOperator;
   if (perSecond === undefined && !isLeaving) return undefined;
   const { instanceId, born } = upstream.announcement;
   return { instanceId, born, requestsPerSecond: perSecond, isLeaving };
--- a/tests/answerNotice.spec.ts
+++ b/tests/answerNotice.spec.ts
@@ -64,13 +64,13 @@
       expect(await metrics()).to.match(/^cleatquay_upstream_rate_limit -1$/m);
       behaviour.rateLimit = '18.9';
       await ask();
-      expect(lines('names a rate limit.')).to.equal(1);
+      expect(lines('An upstream reports a rate limit.')).to.equal(1);
       expect(await metrics()).to.match(/^cleatquay_upstream_rate_limit 18.9$/m);
       expect(await metrics()).to.match(/^cleatquay_upstream_answers_with_rate_limit 1$/m);
       behaviour.rateLimit = 'many';
       await until(async () => (await ask()) && lines('CQ1017') === 1);
       behaviour.rateLimit = undefined;
-      await until(async () => (await ask()) && lines('names no rate limit any more') === 1);
+      await until(async () => (await ask()) && lines('no longer reports a rate limit') === 1);
     });
 
     it('costs one line a second, however often it changes', async () => {
@@ -79,7 +79,7 @@
         behaviour.rateLimit = String(1000 + i);
         await ask();
       }
-      expect(lines('names a rate limit.')).to.be.within(1, 2);
+      expect(lines('An upstream reports a rate limit.')).to.be.within(1, 2);
     });
   });
 });
--- a/tests/platformExplain.spec.ts
+++ b/tests/platformExplain.spec.ts
@@ -96,7 +96,7 @@
     const [, digest] = /Taken\. {2}host=nowhere\.example path=\/x generation=1 digest=(\w+)/.exec(
       explain('unrouted'),
     )!;
-    const adopted = fleet.logged.find(({ msg }) => msg === 'Configuration: A version is in force.');
+    const adopted = fleet.logged.find(({ msg }) => msg === 'Configuration: A version became active.');
     expect(adopted).to.include({ generation: 1, digest, from: 'platform' });
   });
 
--- a/tests/pressureLog.spec.ts
+++ b/tests/pressureLog.spec.ts
@@ -25,8 +25,11 @@
     sample([250, 10, 400, 10, 300]);
     sample(Array<number>(30).fill(0));
     expect(lines).to.deep.equal([
-      { message: 'Requests wait for the processor.', facts: { lagMs: 250 } },
-      { message: 'Requests no longer wait for the processor.', facts: { longestLagMs: 400, forMs: 200 } },
+      { message: 'Requests are delayed by event-loop lag.', facts: { lagMs: 250 } },
+      {
+        message: 'Requests are no longer delayed by event-loop lag.',
+        facts: { longestLagMs: 400, forMs: 200 },
+      },
     ]);
   });
 
--- a/tests/suspendedVm.spec.ts
+++ b/tests/suspendedVm.spec.ts
@@ -122,7 +122,7 @@
       await pause(200);
       other.suspend(SUSPENDED_MS);
       expect((await answer).status).to.equal(200);
-      expect(fleet.logged.filter(({ msg }) => msg.includes('It fell silent'))).to.deep.equal([]);
+      expect(fleet.logged.filter(({ msg }) => msg.includes('It missed its heartbeats'))).to.deep.equal([]);
     });
   });
 });
