--- a/tests/leaving.spec.ts
+++ b/tests/leaving.spec.ts
@@ -3,22 +3,24 @@
 import { confirm, runsOf } from './fixtures/receipts.js';
 import { smallFleet } from './fixtures/smallFleet.js';
 
-const OUT_MS = 2000;
-const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
+const DRAIN_TIMEOUT_MS = 2000;
+const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
-describe('leaving', () => {
+describe('draining and shutdown', () => {
   let fleet: Fleet;
-  let leaving: FleetNode;
-  let entry: FleetNode;
+  let drainedNode: FleetNode;
+  let ingress: FleetNode;
   let stop = false;
   let outcomes: string[] = [];
   let sending: Promise<void>;
 
-  /** Confirmations, a few at a time, until `stop`. */
-  const keepSending = async () => {
+  /** Sends batches of three concurrent confirmations until `stop` is set. */
+  const sendContinuously = async () => {
     for (let i = 0; !stop; i++) {
-      const told = await Promise.all([0, 1, 2].map(n => confirm(entry, `r${String(i)}-${String(n)}`, {})));
-      outcomes.push(...told.map(t => t.outcome));
+      const results = await Promise.all(
+        [0, 1, 2].map(n => confirm(ingress, `r${String(i)}-${String(n)}`, {})),
+      );
+      outcomes.push(...results.map(result => result.outcome));
     }
   };
 
@@ -30,65 +32,67 @@
       ['alarms', 'regina-a'],
       ['exports', 'regina-a'],
     ]);
-    leaving = fleet.nodes[0]!;
-    entry = fleet.nodes[4]!;
+    drainedNode = fleet.nodes[0]!;
+    ingress = fleet.nodes[4]!;
     stop = false;
     outcomes = [];
-    sending = keepSending();
-    await pause(300);
+    sending = sendContinuously();
+    await sleep(300);
   });
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
-  const runs = () => fleet.ledger(leaving).length;
-  /** However slow the machine is, enough has been sent for the outcomes to tell. */
-  const finish = async () => {
-    while (outcomes.length <= 20) await pause(20);
+  const runs = () => fleet.ledger(drainedNode).length;
+  /** Stops sending and checks the outcomes. First waits, also on a slow machine, until there are enough of them. */
+  const stopAndCheck = async () => {
+    while (outcomes.length <= 20) await sleep(20);
     stop = true;
     await sending;
     expect(outcomes.filter(outcome => outcome !== 'answered')).to.deep.equal([]);
   };
 
-  it('an upstream that says it drains gets nothing new after two seconds, and no request fails', async () => {
+  it('sends nothing to an upstream two seconds after it announced that it is draining, and fails no request', async () => {
     expect(runs()).to.be.greaterThan(0);
-    await fleet.behave(leaving, { draining: true });
-    await pause(OUT_MS);
+    await fleet.behave(drainedNode, { draining: true });
+    await sleep(DRAIN_TIMEOUT_MS);
     const before = runs();
-    await pause(1000);
+    await sleep(1000);
     expect(runs()).to.equal(before);
-    await finish();
+    await stopAndCheck();
   });
 
-  it('an operator drains an upstream and takes it back', async () => {
-    await fetch(`http://${leaving.addresses.operator}/drain`, { method: 'POST' });
-    await pause(OUT_MS);
+  it('lets an operator drain and undrain an upstream', async () => {
+    await fetch(`http://${drainedNode.addresses.operator}/drain`, { method: 'POST' });
+    await sleep(DRAIN_TIMEOUT_MS);
     const before = runs();
-    await pause(500);
+    await sleep(500);
     expect(runs()).to.equal(before);
-    await fetch(`http://${leaving.addresses.operator}/undrain`, { method: 'POST' });
-    await pause(OUT_MS);
+    await fetch(`http://${drainedNode.addresses.operator}/undrain`, { method: 'POST' });
+    await sleep(DRAIN_TIMEOUT_MS);
     expect(runs()).to.be.greaterThan(before);
-    await finish();
+    await stopAndCheck();
   });
 
-  it('a daemon that is told to end finishes what is in flight, and exits 0', async () => {
-    leaving.daemon.signal('SIGTERM');
-    expect(await leaving.daemon.exited).to.equal(0);
-    await pause(300);
-    await finish();
+  it('lets a daemon that receives SIGTERM finish the requests in flight and exit with 0', async () => {
+    drainedNode.daemon.signal('SIGTERM');
+    expect(await drainedNode.daemon.exited).to.equal(0);
+    await sleep(300);
+    await stopAndCheck();
     const done = runsOf(fleet, fleet.nodes, 'r0-0');
     expect(done).to.deep.equal({ started: 1, done: 1 });
   });
 
-  it('an entry that is told to end cuts off no caller', async () => {
+  it('lets an ingress daemon that receives SIGTERM answer all its callers', async () => {
     const slow = fleet.nodes.filter(node => node.service === 'receiving');
     await Promise.all(slow.map(node => fleet.behave(node, { serviceMs: 800, serviceTimes: 'constant' })));
-    const told = [1, 2, 3, 4].map(i => confirm(entry, `last-${String(i)}`, {}));
-    await pause(100);
+    const results = [1, 2, 3, 4].map(i => confirm(ingress, `last-${String(i)}`, {}));
+    await sleep(100);
     stop = true;
-    entry.daemon.signal('SIGTERM');
-    expect((await Promise.all(told)).map(t => t.outcome)).to.deep.equal(Array(4).fill('answered'));
-    expect(await entry.daemon.exited).to.equal(0);
+    ingress.daemon.signal('SIGTERM');
+    expect((await Promise.all(results)).map(result => result.outcome)).to.deep.equal(
+      Array(4).fill('answered'),
+    );
+    expect(await ingress.daemon.exited).to.equal(0);
     await sending;
   });
 });
--- a/tests/leavingAnswers.spec.ts
+++ b/tests/leavingAnswers.spec.ts
@@ -4,22 +4,22 @@
 import { ProcessFleet, type ProcessNode, type ProcessVm } from './fixtures/platformProcesses.js';
 import { type LoadedRequest, SteadyLoad, servedShare } from './fixtures/steadyLoad.js';
 
-/** Time after which nothing that is sent may reach an upstream that leaves, ms. */
-const DRAIN_MS = 2000;
-const PER_SECOND = 240;
+/** No request that is sent later than this after the notice may reach an upstream that is shutting down, ms. */
+const DRAIN_TIMEOUT_MS = 2000;
+const REQUESTS_PER_SECOND = 240;
 const WORK_MS = 30;
 const LONG_WORK_MS = 400;
-const CALM_MS = 1500;
+const SETTLE_MS = 1500;
 const SUSPENDED_MS = 1500;
-const LEAVING = [0, 3];
-const SERVED = 0.99;
+const LEAVING_INDEXES = [0, 3];
+const MIN_SERVED_RATIO = 0.99;
 
 const VMS: ProcessVm[] = ['z1', 'z1', 'z2', 'z2', 'z3', 'z3'].map(failureDomain => ({
   service: 'history',
   failureDomain,
 }));
 
-describe('an upstream that says in its answers that it leaves, on daemons as processes', () => {
+describe('an upstream that reports in its responses that it is shutting down, with daemons as processes', () => {
   let fleet: ProcessFleet;
 
   before(() => ProcessFleet.build());
@@ -33,41 +33,45 @@
   afterEach(() => fleet[Symbol.asyncDispose]());
 
   const node = (index: number): ProcessNode => fleet.nodes[index]!;
-  const startLoad = () => new SteadyLoad(fleet, { perSecond: PER_SECOND, hosts: ['history.example'] });
-  /** Gives the time from which on they leave. */
+  const startLoad = () =>
+    new SteadyLoad(fleet, { perSecond: REQUESTS_PER_SECOND, hosts: ['history.example'] });
+  /** Lets the upstreams report that they are shutting down. Returns the time. */
   const leave = () => {
-    for (const index of LEAVING) node(index).upstream.behaviour.saysLeaving = true;
+    for (const index of LEAVING_INDEXES) node(index).upstream.behaviour.saysLeaving = true;
     return performance.now();
   };
-  const arrivalsAt = (index: number, from: number) =>
+  const requestsAt = (index: number, from: number) =>
     node(index).upstream.arrivals.filter(({ at }) => at >= from);
 
-  /** Requests that reached one that leaves, sent too long after the daemon where they came had passed on that it does. */
-  const lateArrivals = (load: SteadyLoad, index: number, from: number): LoadedRequest[] => {
+  /**
+   * Requests that reached an upstream that is shutting down, though their ingress daemon had sent them too long after it
+   * forwarded a response with that notice.
+   */
+  const lateRequests = (load: SteadyLoad, index: number, from: number): LoadedRequest[] => {
     const sent = new Map(load.requests.map(request => [request.id, request]));
-    const toldAt = new Map<number, number>();
-    return arrivalsAt(index, from).flatMap(({ requestId, at }) => {
+    const noticeTimes = new Map<number, number>();
+    return requestsAt(index, from).flatMap(({ requestId, at }) => {
       const request = sent.get(requestId)!;
-      const told = toldAt.get(request.node) ?? at + node(index).upstream.behaviour.workMs;
-      toldAt.set(request.node, told);
-      return request.at > told + DRAIN_MS ? [request] : [];
+      const noticeAt = noticeTimes.get(request.node) ?? at + node(index).upstream.behaviour.workMs;
+      noticeTimes.set(request.node, noticeAt);
+      return request.at > noticeAt + DRAIN_TIMEOUT_MS ? [request] : [];
     });
   };
 
-  it('gets nothing more, though its heartbeats say ready, and nobody is refused', async () => {
+  it('gets no more requests though its heartbeats report ready, and no request is refused', async () => {
     await using load = startLoad();
-    await sleep(CALM_MS);
+    await sleep(SETTLE_MS);
     const from = leave();
-    await sleep(DRAIN_MS);
-    const out = performance.now();
-    await sleep(DRAIN_MS);
-    for (const index of LEAVING) expect(arrivalsAt(index, out).length).to.equal(0);
-    expect(servedShare(load.sentBetween(from, out))).to.be.above(SERVED);
+    await sleep(DRAIN_TIMEOUT_MS);
+    const drainedAt = performance.now();
+    await sleep(DRAIN_TIMEOUT_MS);
+    for (const index of LEAVING_INDEXES) expect(requestsAt(index, drainedAt).length).to.equal(0);
+    expect(servedShare(load.sentBetween(from, drainedAt))).to.be.above(MIN_SERVED_RATIO);
   });
 
-  it('gets nothing more from those that it told, after its daemon was started again and can read nothing', async () => {
+  it('gets no more requests from daemons that received its notice after its own daemon restarted without the platform', async () => {
     await fleet[Symbol.asyncDispose]();
-    // All ask all, and have much under way: all are told.
+    // All daemons send to all upstreams and have many requests in flight, so that all receive the notice.
     fleet = await ProcessFleet.start(
       VMS.map(vm => ({ ...vm, failureDomain: 'z1' })),
       [routeTo('history')],
@@ -75,44 +79,46 @@
     for (const { upstream } of fleet.nodes) upstream.behaviour.workMs = LONG_WORK_MS;
     await fleet.calm();
     await using load = startLoad();
-    await sleep(CALM_MS);
-    for (const index of LEAVING) node(index).proxy.reset();
+    await sleep(SETTLE_MS);
+    for (const index of LEAVING_INDEXES) node(index).proxy.reset();
     const from = leave();
-    await sleep(DRAIN_MS);
-    await Promise.all(LEAVING.map(index => node(index).restart()));
-    await sleep(2 * DRAIN_MS);
-    for (const index of LEAVING) {
-      const late = lateArrivals(load, index, from).filter(request => request.node !== index);
+    await sleep(DRAIN_TIMEOUT_MS);
+    await Promise.all(LEAVING_INDEXES.map(index => node(index).restart()));
+    await sleep(2 * DRAIN_TIMEOUT_MS);
+    for (const index of LEAVING_INDEXES) {
+      const late = lateRequests(load, index, from).filter(request => request.node !== index);
       expect(late.map(({ id }) => id)).to.deep.equal([]);
     }
   });
 
-  it('gets nothing more after its daemon was suspended', async () => {
+  it('gets no more requests after its daemon was suspended', async () => {
     await using load = startLoad();
-    await sleep(CALM_MS);
+    await sleep(SETTLE_MS);
     const from = leave();
-    await sleep(CALM_MS / 5);
-    for (const index of LEAVING) node(index).signal('SIGSTOP');
+    await sleep(SETTLE_MS / 5);
+    for (const index of LEAVING_INDEXES) node(index).signal('SIGSTOP');
     await sleep(SUSPENDED_MS);
-    for (const index of LEAVING) node(index).signal('SIGCONT');
-    await sleep(2 * DRAIN_MS);
-    for (const index of LEAVING) expect(lateArrivals(load, index, from)).to.deep.equal([]);
+    for (const index of LEAVING_INDEXES) node(index).signal('SIGCONT');
+    await sleep(2 * DRAIN_TIMEOUT_MS);
+    for (const index of LEAVING_INDEXES) expect(lateRequests(load, index, from)).to.deep.equal([]);
   });
 
-  it('leaves its address to the next start there, which is asked', async () => {
+  it('gets requests again after it is started anew at the same address', async () => {
     await using load = startLoad();
-    await sleep(CALM_MS);
+    await sleep(SETTLE_MS);
     leave();
-    await sleep(DRAIN_MS);
-    for (const index of LEAVING) {
+    await sleep(DRAIN_TIMEOUT_MS);
+    for (const index of LEAVING_INDEXES) {
       const { upstream } = node(index);
       upstream.behaviour.saysLeaving = false;
       upstream.behaviour.awayMs = 200;
       await upstream.end();
     }
-    const back = performance.now();
-    await sleep(DRAIN_MS);
-    for (const index of LEAVING) expect(arrivalsAt(index, back).length).to.be.above(20);
-    expect(servedShare(load.sentBetween(back, performance.now() - CALM_MS))).to.be.above(SERVED);
+    const restartedAt = performance.now();
+    await sleep(DRAIN_TIMEOUT_MS);
+    for (const index of LEAVING_INDEXES) expect(requestsAt(index, restartedAt).length).to.be.above(20);
+    expect(servedShare(load.sentBetween(restartedAt, performance.now() - SETTLE_MS))).to.be.above(
+      MIN_SERVED_RATIO,
+    );
   });
 });
--- a/tests/rateLimits.spec.ts
+++ b/tests/rateLimits.spec.ts
@@ -5,29 +5,29 @@
 import { SteadyLoad, servedShare } from './fixtures/steadyLoad.js';
 import { mostWithin } from './fixtures/windows.js';
 
-/** Time from the first answer that names a rate until it has to hold, ms. */
-const HOLDS_AFTER_MS = 3000;
+/** Time from the first response that reports a limit until it must be observed, ms. */
+const EFFECTIVE_AFTER_MS = 3000;
 const WINDOW_MS = 4000;
-const BORNE_FACTOR = 1.5;
-const BORNE_REQUESTS = 5;
+const TOLERATED_RATIO = 1.5;
+const TOLERATED_REQUESTS = 5;
 const MEASURED_MS = 7000;
-const PER_SECOND = 240;
+const REQUESTS_PER_SECOND = 240;
 const WORK_MS = 30;
-/** So long that many requests come until one is answered. */
+/** So long that many requests arrive before the first response. */
 const LONG_WORK_MS = 800;
-const FEW_PER_SECOND = 120;
+const LOW_REQUESTS_PER_SECOND = 120;
 const SUSPENDED_MS = 2500;
-/** Of what the upstreams take together, so much is served when all of them name a rate. */
-const USED_SHARE = 0.85;
-/** With room elsewhere a limit costs callers next to nothing. */
-const SERVED_BESIDE = 0.99;
-const CALM_MS = 1500;
+/** Minimum ratio of served requests to the sum of the limits when all upstreams report one. */
+const MIN_USED_RATIO = 0.85;
+/** Minimum ratio of served requests when other upstreams have capacity. */
+const MIN_SERVED_RATIO = 0.99;
+const SETTLE_MS = 1500;
 
 const VMS: ProcessVm[] = ['z1', 'z1', 'z2', 'z2', 'z3', 'z3'].map(failureDomain => ({
   service: 'history',
   failureDomain,
 }));
-const ONE_DOMAIN: ProcessVm[] = VMS.map(vm => ({ ...vm, failureDomain: 'z1' }));
+const ONE_DOMAIN_VMS: ProcessVm[] = VMS.map(vm => ({ ...vm, failureDomain: 'z1' }));
 const URGENT = 'urgent.example';
 const OTHER = 'history.example';
 const ROUTES = [
@@ -36,7 +36,7 @@
 ];
 const HOSTS = [OTHER, URGENT, OTHER];
 
-describe('an upstream that names how many requests a second it takes, on daemons as processes', () => {
+describe('an upstream that reports a rate limit, with daemons as processes', () => {
   let fleet: ProcessFleet;
 
   before(() => ProcessFleet.build());
@@ -49,63 +49,64 @@
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
-  /** Another fleet, in which all daemons ask all upstreams. */
+  /** Replaces the fleet by one in which all daemons send to all upstreams. */
   const startInOneDomain = async () => {
     await fleet[Symbol.asyncDispose]();
-    fleet = await ProcessFleet.start(ONE_DOMAIN, ROUTES);
+    fleet = await ProcessFleet.start(ONE_DOMAIN_VMS, ROUTES);
     for (const { upstream } of fleet.nodes) upstream.behaviour.workMs = LONG_WORK_MS;
     await fleet.calm();
   };
   const node = (index: number): ProcessNode => fleet.nodes[index]!;
-  const name = (index: number, rate: number | string | string[] | undefined) => {
+  const setRateLimit = (index: number, rate: number | string | string[] | undefined) => {
     node(index).upstream.behaviour.rateLimit = typeof rate === 'number' ? String(rate) : rate;
   };
-  const startLoad = (perSecond = PER_SECOND) => new SteadyLoad(fleet, { perSecond, hosts: HOSTS });
-  const arrivalsSince = (index: number, from: number) =>
+  const startLoad = (perSecond = REQUESTS_PER_SECOND) => new SteadyLoad(fleet, { perSecond, hosts: HOSTS });
+  const receivedSince = (index: number, from: number) =>
     node(index)
       .upstream.arrivals.map(({ at }) => at)
       .filter(at => at >= from);
-  const fullestWindow = (index: number, from: number) => mostWithin(arrivalsSince(index, from), WINDOW_MS);
-  const expectKept = (index: number, rate: number, from: number) =>
-    expect(fullestWindow(index, from), `arrivals in a window at upstream ${String(index)}`).to.be.at.most(
-      allowedInWindow(rate),
-    );
-
-  it('gets no more than that, while others with room serve all callers', async () => {
+  const maxInWindow = (index: number, from: number) => mostWithin(receivedSince(index, from), WINDOW_MS);
+  const expectWithinLimit = (index: number, rate: number, from: number) =>
+    expect(
+      maxInWindow(index, from),
+      `requests received in a window at upstream ${String(index)}`,
+    ).to.be.at.most(maxAllowedInWindow(rate));
+
+  it('gets no more requests than that, while others with capacity serve all callers', async () => {
     await using load = startLoad();
-    await sleep(CALM_MS);
-    name(0, 18.9);
-    name(3, 11.3);
-    await sleep(HOLDS_AFTER_MS);
+    await sleep(SETTLE_MS);
+    setRateLimit(0, 18.9);
+    setRateLimit(3, 11.3);
+    await sleep(EFFECTIVE_AFTER_MS);
     const from = performance.now();
     await sleep(MEASURED_MS);
-    expectKept(0, 18.9, from);
-    expectKept(3, 11.3, from);
-    expect(arrivalsSince(0, from).length).to.be.above((18.9 * MEASURED_MS) / 2000);
-    expect(servedShare(load.sentBetween(from, performance.now() - CALM_MS))).to.be.above(SERVED_BESIDE);
+    expectWithinLimit(0, 18.9, from);
+    expectWithinLimit(3, 11.3, from);
+    expect(receivedSince(0, from).length).to.be.above((18.9 * MEASURED_MS) / 2000);
+    expect(servedShare(load.sentBetween(from, performance.now() - SETTLE_MS))).to.be.above(MIN_SERVED_RATIO);
   });
 
-  it('gets no more than that while all daemons are killed and started again in turn', async () => {
+  it('gets no more requests than that while the daemons are killed and restarted one after the other', async () => {
     await using load = startLoad();
-    name(0, 18.9);
-    name(3, 11.3);
-    await sleep(HOLDS_AFTER_MS);
+    setRateLimit(0, 18.9);
+    setRateLimit(3, 11.3);
+    await sleep(EFFECTIVE_AFTER_MS);
     const from = performance.now();
     for (const restarted of fleet.nodes) {
       await restarted.restart();
       await sleep(500);
     }
-    expectKept(0, 18.9, from);
-    expectKept(3, 11.3, from);
+    expectWithinLimit(0, 18.9, from);
+    expectWithinLimit(3, 11.3, from);
     expect(load.requests.length).to.be.above(0);
   });
 
-  it('gets no more than that from daemons that it told, while its own is killed and started again in series', async () => {
+  it('gets no more requests than that from daemons that received its notice, while its own is killed and restarted repeatedly', async () => {
     await startInOneDomain();
-    await using load = startLoad(FEW_PER_SECOND);
-    await sleep(CALM_MS);
-    name(0, 1);
-    await sleep(HOLDS_AFTER_MS);
+    await using load = startLoad(LOW_REQUESTS_PER_SECOND);
+    await sleep(SETTLE_MS);
+    setRateLimit(0, 1);
+    await sleep(EFFECTIVE_AFTER_MS);
     const from = performance.now();
     for (let i = 0; i < 3; i++) {
       await node(0).restart();
@@ -114,96 +115,100 @@
     const own = new Set(load.requests.filter(request => request.node === 0).map(({ id }) => id));
     const others = node(0).upstream.arrivals.filter(({ requestId, at }) => at >= from && !own.has(requestId));
     const times = others.map(({ at }) => at);
-    expect(mostWithin(times, WINDOW_MS)).to.be.at.most(allowedInWindow(1));
+    expect(mostWithin(times, WINDOW_MS)).to.be.at.most(maxAllowedInWindow(1));
   });
 
   it('gets no burst after its daemon was suspended', async () => {
     await using load = startLoad();
-    name(0, 18.9);
-    name(3, 11.3);
-    await sleep(HOLDS_AFTER_MS);
+    setRateLimit(0, 18.9);
+    setRateLimit(3, 11.3);
+    await sleep(EFFECTIVE_AFTER_MS);
     const from = performance.now();
     for (const index of [0, 3]) node(index).signal('SIGSTOP');
     await sleep(SUSPENDED_MS);
     for (const index of [0, 3]) node(index).signal('SIGCONT');
     await sleep(WINDOW_MS);
-    expectKept(0, 18.9, from);
-    expectKept(3, 11.3, from);
+    expectWithinLimit(0, 18.9, from);
+    expectWithinLimit(3, 11.3, from);
     expect(load.requests.length).to.be.above(0);
   });
 
-  it('gets as much as it names when that falls, ends and comes back', async () => {
+  it('gets as many requests as it reports when the limit is lowered, removed and set again', async () => {
     await using load = startLoad();
-    name(0, 30);
-    await sleep(HOLDS_AFTER_MS);
-    name(0, 10);
-    await sleep(HOLDS_AFTER_MS);
-    const low = performance.now();
+    setRateLimit(0, 30);
+    await sleep(EFFECTIVE_AFTER_MS);
+    setRateLimit(0, 10);
+    await sleep(EFFECTIVE_AFTER_MS);
+    const loweredAt = performance.now();
     await sleep(WINDOW_MS);
-    expectKept(0, 10, low);
-    name(0, undefined);
-    await sleep(HOLDS_AFTER_MS);
-    const free = performance.now();
+    expectWithinLimit(0, 10, loweredAt);
+    setRateLimit(0, undefined);
+    await sleep(EFFECTIVE_AFTER_MS);
+    const removedAt = performance.now();
     await sleep(1000);
-    expect(arrivalsSince(0, free).length, 'arrivals in a second without a limit').to.be.above(20);
-    name(0, 10);
-    await sleep(HOLDS_AFTER_MS);
-    const again = performance.now();
+    expect(receivedSince(0, removedAt).length, 'requests received in a second without a limit').to.be.above(
+      20,
+    );
+    setRateLimit(0, 10);
+    await sleep(EFFECTIVE_AFTER_MS);
+    const setAgainAt = performance.now();
     await sleep(WINDOW_MS);
-    expectKept(0, 10, again);
+    expectWithinLimit(0, 10, setAgainAt);
     expect(load.requests.length).to.be.above(0);
   });
 
-  it('gets nothing to run while that is 0, and gets work again soon after', async () => {
+  it('gets no requests while the limit is 0, and gets some again soon after', async () => {
     await using load = startLoad();
-    name(0, 0);
-    await sleep(HOLDS_AFTER_MS);
+    setRateLimit(0, 0);
+    await sleep(EFFECTIVE_AFTER_MS);
     const from = performance.now();
     await sleep(WINDOW_MS);
-    expectKept(0, 0, from);
-    name(0, undefined);
-    await sleep(HOLDS_AFTER_MS);
-    const free = performance.now();
+    expectWithinLimit(0, 0, from);
+    setRateLimit(0, undefined);
+    await sleep(EFFECTIVE_AFTER_MS);
+    const removedAt = performance.now();
     await sleep(1000);
-    expect(arrivalsSince(0, free).length, 'arrivals in a second without a limit').to.be.above(20);
-    expect(servedShare(load.sentBetween(from, free))).to.be.above(SERVED_BESIDE);
+    expect(receivedSince(0, removedAt).length, 'requests received in a second without a limit').to.be.above(
+      20,
+    );
+    expect(servedShare(load.sentBetween(from, removedAt))).to.be.above(MIN_SERVED_RATIO);
   });
 
-  it('keeps its limit while what it names makes no sense, and the lowest of several', async () => {
+  it('keeps its limit while it reports invalid ones, and gets the lowest of several', async () => {
     await using load = startLoad();
-    name(0, ['40', '12']);
-    await sleep(HOLDS_AFTER_MS);
+    setRateLimit(0, ['40', '12']);
+    await sleep(EFFECTIVE_AFTER_MS);
     const from = performance.now();
-    for (const senseless of ['-3', 'many', '', '1e308', 'NaN']) {
-      name(0, senseless);
+    for (const invalid of ['-3', 'many', '', '1e308', 'NaN']) {
+      setRateLimit(0, invalid);
       await sleep(WINDOW_MS / 4);
     }
-    expectKept(0, 12, from);
+    expectWithinLimit(0, 12, from);
     expect(load.requests.length).to.be.above(0);
   });
 
-  it('and all others do so: most of what they take is served, the most important first', async () => {
+  it('gets most of its limit used when all others report one, too; requests of high priority are served first', async () => {
     const rates = [18.9, 11.3, 25, 16, 20, 15];
-    const together = rates.reduce((sum, rate) => sum + rate, 0);
+    const totalRate = rates.reduce((sum, rate) => sum + rate, 0);
     await using load = startLoad();
-    rates.forEach((rate, index) => name(index, rate));
-    await sleep(HOLDS_AFTER_MS);
+    rates.forEach((rate, index) => setRateLimit(index, rate));
+    await sleep(EFFECTIVE_AFTER_MS);
     const from = performance.now();
     await sleep(MEASURED_MS);
     const to = performance.now();
-    rates.forEach((rate, index) => expectKept(index, rate, from));
+    rates.forEach((rate, index) => expectWithinLimit(index, rate, from));
     const sent = load.sentBetween(from, to);
-    await sleep(CALM_MS);
+    await sleep(SETTLE_MS);
     const servedPerSecond = sent.filter(({ status }) => status === 200).length / ((to - from) / 1000);
-    expect(servedPerSecond / together).to.be.above(USED_SHARE);
+    expect(servedPerSecond / totalRate).to.be.above(MIN_USED_RATIO);
     const urgent = sent.filter(({ host }) => host === URGENT);
     const others = sent.filter(({ host }) => host === OTHER);
     expect(servedShare(urgent)).to.be.above(servedShare(others));
-    const ended = [...urgent, ...others].map(({ status }) => status);
-    expect(ended.filter(status => status !== 200 && status !== 503)).to.deep.equal([]);
+    const statuses = [...urgent, ...others].map(({ status }) => status);
+    expect(statuses.filter(status => status !== 200 && status !== 503)).to.deep.equal([]);
   });
 });
 
-function allowedInWindow(rate: number): number {
-  return (BORNE_FACTOR * rate * WINDOW_MS) / 1000 + BORNE_REQUESTS;
+function maxAllowedInWindow(rate: number): number {
+  return (TOLERATED_RATIO * rate * WINDOW_MS) / 1000 + TOLERATED_REQUESTS;
 }
--- a/tests/revocation.spec.ts
+++ b/tests/revocation.spec.ts
@@ -9,57 +9,57 @@
   until,
 } from './fixtures/platformFleet.js';
 
-const BOUND_MS = 1500;
-const DAIRY: WrittenOrganisation = { name: 'dairy', apiKeys: ['kept', 'taken'] };
+const REVOCATION_MS = 1500;
+const ORGANISATION: WrittenOrganisation = { name: 'dairy', apiKeys: ['kept', 'revoked'] };
 const ROUTES = [routeTo('history'), routeTo('history', { name: 'open', host: 'open.example', public: true })];
 
-describe('a key that was taken away', () => {
+describe('a revoked key', () => {
   let fleet: PlatformFleet;
 
   const start = async (nodes: number) => {
     const vms = Array.from({ length: nodes }, () => ({ service: 'history' }));
-    fleet = await PlatformFleet.start(vms, ROUTES, [DAIRY], BOUND_MS);
-    await until(async () => (await statusesWith('taken')).every(status => status === 200));
+    fleet = await PlatformFleet.start(vms, ROUTES, [ORGANISATION], REVOCATION_MS);
+    await until(async () => (await statusesWith('revoked')).every(status => status === 200));
   };
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
-  const ask = (node: number | PlatformNode, key: string) =>
+  const sendTo = (node: number | PlatformNode, key: string) =>
     fleet.ask(node, { headers: { Authorization: `Bearer ${key}` } });
   const statusesWith = (key: string) =>
-    Promise.all(fleet.nodes.map(async node => (await ask(node, key)).status));
-  const takeAway = (version: number) =>
+    Promise.all(fleet.nodes.map(async node => (await sendTo(node, key)).status));
+  const revokeKey = (version: number) =>
     fleet.store.put(
       'op',
       'config',
       configurationText(version, ROUTES, [{ name: 'dairy', apiKeys: ['kept'] }]),
     );
 
-  it('is honoured nowhere soon after, and the others go on', async () => {
+  it('is soon accepted by no daemon, while the other keys still are', async () => {
     await start(3);
-    takeAway(2);
-    await until(async () => (await statusesWith('taken')).every(status => status === 401));
+    revokeKey(2);
+    await until(async () => (await statusesWith('revoked')).every(status => status === 401));
     expect(await statusesWith('kept')).to.deep.equal([200, 200, 200]);
   });
 
-  it('is honoured for no longer than the bound by daemons that the platform does not answer; public routes go on', async () => {
+  it('is accepted no longer than the revocation time by daemons without the platform; public routes still work', async () => {
     await start(2);
     for (const { proxy } of fleet.nodes) proxy.reset();
-    const cutAt = performance.now();
-    takeAway(2);
-    while (performance.now() - cutAt < BOUND_MS) await statusesWith('taken');
-    expect(await statusesWith('taken')).to.deep.equal([503, 503]);
+    const partitionedAt = performance.now();
+    revokeKey(2);
+    while (performance.now() - partitionedAt < REVOCATION_MS) await statusesWith('revoked');
+    expect(await statusesWith('revoked')).to.deep.equal([503, 503]);
     expect(await statusesWith('kept')).to.deep.equal([503, 503]);
     expect(await statusesWith('never-held')).to.deep.equal([503, 503]);
-    const refused = await ask(0, 'kept');
-    expect(refused.text).to.contain('"code":2014').and.to.contain('not-run');
-    expect(Number(refused.headers['retry-after'])).to.be.within(0.1, 3);
+    const refusal = await sendTo(0, 'kept');
+    expect(refusal.text).to.contain('"code":2014').and.to.contain('not-run');
+    expect(Number(refusal.headers['retry-after'])).to.be.within(0.1, 3);
     expect((await fleet.ask(0, { host: 'open.example' })).status).to.equal(200);
-    const keyed = { host: 'open.example', headers: { Authorization: 'Bearer taken' } };
-    expect((await fleet.ask(0, keyed)).status).to.equal(503);
+    const withKey = { host: 'open.example', headers: { Authorization: 'Bearer revoked' } };
+    expect((await fleet.ask(0, withKey)).status).to.equal(503);
   });
 
-  it('costs the others no more than the time without proof: they are honoured again once the platform is back', async () => {
+  it('does not affect the other keys for longer than a proof is missing: they are accepted again once the platform is back', async () => {
     await start(2);
     fleet.store.faults.down = 503;
     await until(async () => (await statusesWith('kept')).every(status => status === 503));
@@ -67,27 +67,27 @@
     await until(async () => (await statusesWith('kept')).every(status => status === 200));
   });
 
-  it('is not honoured by a daemon that starts while the platform is away, whatever its peers have', async () => {
+  it('is not accepted by a daemon that starts while the platform is unavailable, whatever configuration its peers have', async () => {
     await start(2);
     fleet.store.faults.down = 503;
     await until(async () => (await statusesWith('kept')).every(status => status === 503));
-    takeAway(2);
+    revokeKey(2);
     const { daemon } = await fleet.add({ service: 'history' }, 'late');
     daemon.membership.meet([fleet.nodes[0]!.daemon.membership.me.gossipAddress]);
     await until(() => daemon.configuration.generation === 1);
-    expect((await ask(2, 'taken')).status).to.equal(503);
+    expect((await sendTo(2, 'revoked')).status).to.equal(503);
   });
 
-  it('is known to daemons that the platform rejects, from those that it serves, for as long as that lasts', async () => {
+  it('is known to daemons that the platform rejects, by way of those that it serves, however long that lasts', async () => {
     await start(3);
     fleet.nodes[0]!.proxy.reset();
     fleet.nodes[1]!.proxy.reset();
-    const end = performance.now() + 2 * BOUND_MS;
+    const end = performance.now() + 2 * REVOCATION_MS;
     while (performance.now() < end) {
       expect(await statusesWith('kept')).to.deep.equal([200, 200, 200]);
       await sleep(20);
     }
-    takeAway(2);
-    await until(async () => (await statusesWith('taken')).every(status => status === 401));
+    revokeKey(2);
+    await until(async () => (await statusesWith('revoked')).every(status => status === 401));
   });
 });
--- a/tests/upstreamNoticeSoak.spec.ts
+++ b/tests/upstreamNoticeSoak.spec.ts
@@ -1,8 +1,8 @@
 /**
- * Upstreams name rate limits that change and end, and say in their answers that they leave while their heartbeats call them ready, before daemons as
- * processes of which some are stopped and continued, killed and started again, rejected by the store, or left with connections that fell silent, at
- * random and several at once. What reaches each upstream is compared with what it had named. `CLEATQUAY_SEED` tries another run, `CLEATQUAY_ROUNDS` a
- * longer one.
+ * Upstreams set, change and remove rate limits, and report in their responses that they are shutting down while their
+ * heartbeats report ready. Meanwhile some of the daemons, which are processes, are suspended, killed and restarted,
+ * rejected by the store, or left with unresponsive connections, at random and several at once. The requests that each
+ * upstream receives are compared with what it reported. `CLEATQUAY_SEED` sets the seed, `CLEATQUAY_ROUNDS` the length.
  */
 import { type Random, seededRandom } from '@cleatquay/clock';
 import { expect } from 'chai';
@@ -14,70 +14,73 @@
 
 const ROUNDS = Number(process.env.CLEATQUAY_ROUNDS ?? 5);
 const SEED = process.env.CLEATQUAY_SEED ?? '1';
-const ROUND_LIMIT_MS = 20_000;
-const PER_SECOND = 150;
+const ROUND_TIMEOUT_MS = 20_000;
+const REQUESTS_PER_SECOND = 150;
 const WORK_MS = 60;
-const MOST_FAULTS = 3;
-const LONGEST_BEFORE_MS = 1500;
-const LONGEST_AFTER_MS = 3500;
+const MAX_FAULTS = 3;
+const MAX_BEFORE_MS = 1500;
+const MAX_AFTER_MS = 3500;
 const AWAY_MS = 300;
 
-const LIMITED_SHARE = 0.5;
-const LEAVING_SHARE = 0.3;
+const LIMITED_RATIO = 0.5;
+const LEAVING_RATIO = 0.3;
 const RATES = [0, 1, 4, 12, 20];
 
-/** What has to hold: time until a limit does, its window, and what may come beyond it; time until nothing comes after a leave. */
-const HOLDS_AFTER_MS = 3000;
+/**
+ * What is checked: the time until a rate limit is effective, its window, and what is tolerated above it; the time until
+ * an upstream is drained.
+ */
+const EFFECTIVE_AFTER_MS = 3000;
 const WINDOW_MS = 4000;
-const BORNE_FACTOR = 1.5;
-const BORNE_REQUESTS = 5;
-const DRAIN_MS = 2000;
-/** Only those count that had passed such an answer on so long before. */
-const TOLD_MS = 500;
-/** After the end of a fault a daemon counts as harmed for so long. */
-const HARMED_MS = 3000;
+const TOLERATED_RATIO = 1.5;
+const TOLERATED_REQUESTS = 5;
+const DRAIN_TIMEOUT_MS = 2000;
+/** Only requests from daemons that had forwarded such a response this long before count. */
+const NOTICE_MARGIN_MS = 500;
+/** A daemon counts as affected for this time after the end of a fault. */
+const AFFECTED_MS = 3000;
 
 const VMS: ProcessVm[] = ['z1', 'z1', 'z1', 'z2', 'z2', 'z2'].map(failureDomain => ({
   service: 'history',
   failureDomain,
 }));
 
-/** A time, ms of `performance.now()`. */
+/** A time span, ms of `performance.now()`. */
 interface Span {
   readonly from: number;
   to: number;
 }
 
-/** A time for which an upstream names a rate. */
-interface Naming extends Span {
+/** A time span in which an upstream reports a rate limit. */
+interface RateLimitSpan extends Span {
   readonly rate: number;
 }
 
-/** An arrival of a request; times of `performance.now()`, ms. */
-interface ToldArrival {
+/** A request received from a daemon that had seen the notice; times of `performance.now()`, ms. */
+interface InformedRequest {
   readonly at: number;
   readonly sentAt: number;
-  /** When its daemon passed on what the upstream says. */
-  readonly told: number;
+  /** When its ingress daemon forwarded a response with the notice. */
+  readonly noticeAt: number;
 }
 
-/** What one upstream says, and what is done to the daemon beside it. */
-interface History {
-  readonly namings: Naming[];
+/** What one upstream reports, and the faults of the daemon on its VM. */
+interface UpstreamHistory {
+  readonly rateLimits: RateLimitSpan[];
   readonly leavings: Span[];
-  readonly harms: Span[];
+  readonly faults: Span[];
 }
 
-describe('upstreams that name limits and leave among faults, on daemons as processes', () => {
+describe('upstreams that report limits and shut down during faults, with daemons as processes', () => {
   let fleet: ProcessFleet;
   let random: Random;
-  let histories: History[];
+  let histories: UpstreamHistory[];
 
   before(() => ProcessFleet.build());
 
   beforeEach(async () => {
     random = seededRandom(`upstream notices ${SEED}`);
-    histories = VMS.map(() => ({ namings: [], leavings: [], harms: [] }));
+    histories = VMS.map(() => ({ rateLimits: [], leavings: [], faults: [] }));
     fleet = await ProcessFleet.start(VMS, [routeTo('history')]);
     for (const { upstream } of fleet.nodes)
       Object.assign(upstream.behaviour, { workMs: WORK_MS, awayMs: AWAY_MS });
@@ -85,8 +88,8 @@
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
-  const below = (count: number) => Math.floor(random() * count);
-  const one = <T>(list: readonly T[]): T => list[below(list.length)]!;
+  const randomBelow = (count: number) => Math.floor(random() * count);
+  const pick = <T>(list: readonly T[]): T => list[randomBelow(list.length)]!;
   const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
   const node = (index: number): ProcessNode => fleet.nodes[index]!;
   const open = (spans: Span[]) => spans.find(({ to }) => to === Number.POSITIVE_INFINITY);
@@ -96,91 +99,106 @@
   };
   const begin = () => ({ from: performance.now(), to: Number.POSITIVE_INFINITY });
 
-  const name = (index: number) => {
-    const { namings } = histories[index]!;
-    close(namings);
-    const rate = random() < LIMITED_SHARE ? one(RATES) : undefined;
+  const changeRateLimit = (index: number) => {
+    const { rateLimits } = histories[index]!;
+    close(rateLimits);
+    const rate = random() < LIMITED_RATIO ? pick(RATES) : undefined;
     node(index).upstream.behaviour.rateLimit = rate === undefined ? undefined : String(rate);
-    if (rate !== undefined) namings.push({ ...begin(), rate });
+    if (rate !== undefined) rateLimits.push({ ...begin(), rate });
   };
 
-  const leave = (index: number) => {
+  const startLeaving = (index: number) => {
     node(index).upstream.behaviour.saysLeaving = true;
     histories[index]!.leavings.push(begin());
   };
 
-  /** Its next start says nothing at first. */
-  const replace = async (index: number) => {
+  /** Restarts the upstream. The new start reports nothing at first. */
+  const restartUpstream = async (index: number) => {
     const { upstream } = node(index);
     const ended = upstream.end();
     Object.assign(upstream.behaviour, { saysLeaving: false, rateLimit: undefined });
-    close(histories[index]!.namings);
+    close(histories[index]!.rateLimits);
     close(histories[index]!.leavings);
     await ended;
   };
 
-  const strike = (): (() => Promise<void>) => {
-    const index = below(VMS.length);
-    const harm = begin();
-    histories[index]!.harms.push(harm);
-    const end = FAULTS[one(Object.keys(FAULTS))]!(node(index));
+  const injectFault = (): (() => Promise<void>) => {
+    const index = randomBelow(VMS.length);
+    const fault = begin();
+    histories[index]!.faults.push(fault);
+    const end = FAULTS[pick(Object.keys(FAULTS))]!(node(index));
     return async () => {
       await end();
-      harm.to = performance.now() + HARMED_MS;
+      fault.to = performance.now() + AFFECTED_MS;
     };
   };
 
   const round = async () => {
-    const leaving = VMS.map((_, index) => index).filter(() => random() < LEAVING_SHARE / 2);
-    VMS.forEach((_, index) => name(index));
-    leaving.forEach(leave);
-    await pause(below(LONGEST_BEFORE_MS));
-    const ends = Array.from({ length: 1 + below(MOST_FAULTS) }, strike);
-    await pause(HOLDS_AFTER_MS + below(LONGEST_AFTER_MS));
+    const leaving = VMS.map((_, index) => index).filter(() => random() < LEAVING_RATIO / 2);
+    VMS.forEach((_, index) => changeRateLimit(index));
+    leaving.forEach(startLeaving);
+    await pause(randomBelow(MAX_BEFORE_MS));
+    const ends = Array.from({ length: 1 + randomBelow(MAX_FAULTS) }, injectFault);
+    await pause(EFFECTIVE_AFTER_MS + randomBelow(MAX_AFTER_MS));
     await Promise.all(ends.map(end => end()));
-    await pause(below(LONGEST_BEFORE_MS));
-    await Promise.all(leaving.map(replace));
+    await pause(randomBelow(MAX_BEFORE_MS));
+    await Promise.all(leaving.map(restartUpstream));
   };
 
-  const isHarmed = (index: number, from: number, to: number) =>
-    histories[index]!.harms.some(harm => harm.from <= to && harm.to >= from);
-
-  /** Arrivals in a time in which an upstream says something, from daemons that were told so in it, and neither stopped nor started since. */
-  const fromTold = (index: number, { from, to }: Span, sent: Map<string, LoadedRequest>): ToldArrival[] => {
-    const toldAt = new Map<number, number>();
+  const isAffected = (index: number, from: number, to: number) =>
+    histories[index]!.faults.some(fault => fault.from <= to && fault.to >= from);
+
+  /**
+   * Requests received in a time span in which an upstream reports something, from daemons that saw that notice in it and
+   * had no fault since.
+   */
+  const fromInformedDaemons = (
+    index: number,
+    { from, to }: Span,
+    sent: Map<string, LoadedRequest>,
+  ): InformedRequest[] => {
+    const noticeTimes = new Map<number, number>();
     return node(index).upstream.arrivals.flatMap(({ requestId, at }) => {
-      const { node: entry, at: sentAt } = sent.get(requestId)!;
+      const { node: ingress, at: sentAt } = sent.get(requestId)!;
       if (at < from || at > to) return [];
-      const told = toldAt.get(entry) ?? at + WORK_MS;
-      toldAt.set(entry, told);
-      return isHarmed(entry, told, at) ? [] : [{ at, sentAt, told }];
+      const noticeAt = noticeTimes.get(ingress) ?? at + WORK_MS;
+      noticeTimes.set(ingress, noticeAt);
+      return isAffected(ingress, noticeAt, at) ? [] : [{ at, sentAt, noticeAt }];
     });
   };
 
-  /** How many more came in the fullest window than may. */
-  const beyond = (index: number, naming: Naming, sent: Map<string, LoadedRequest>): number => {
-    const allowed = (BORNE_FACTOR * naming.rate * WINDOW_MS) / 1000 + BORNE_REQUESTS;
-    const times = fromTold(index, naming, sent)
-      .filter(({ at, told }) => at > told + TOLD_MS && at >= naming.from + HOLDS_AFTER_MS)
+  /** Number of requests above the limit in the fullest window. */
+  const excess = (index: number, limitSpan: RateLimitSpan, sent: Map<string, LoadedRequest>): number => {
+    const allowed = (TOLERATED_RATIO * limitSpan.rate * WINDOW_MS) / 1000 + TOLERATED_REQUESTS;
+    const times = fromInformedDaemons(index, limitSpan, sent)
+      .filter(
+        ({ at, noticeAt }) => at > noticeAt + NOTICE_MARGIN_MS && at >= limitSpan.from + EFFECTIVE_AFTER_MS,
+      )
       .map(({ at }) => at);
     return Math.max(0, mostWithin(times, WINDOW_MS) - allowed);
   };
 
-  /** Requests that came though their daemons had passed on in time that the upstream leaves. */
-  const late = (index: number, leaving: Span, sent: Map<string, LoadedRequest>): ToldArrival[] =>
-    fromTold(index, leaving, sent).filter(({ sentAt, told }) => sentAt > told + DRAIN_MS);
+  /** Requests sent by daemons too long after these forwarded the notice that the upstream is shutting down. */
+  const lateRequests = (index: number, leaving: Span, sent: Map<string, LoadedRequest>): InformedRequest[] =>
+    fromInformedDaemons(index, leaving, sent).filter(
+      ({ sentAt, noticeAt }) => sentAt > noticeAt + DRAIN_TIMEOUT_MS,
+    );
 
-  it('get no more than they name, and nothing new once they leave', async function () {
-    this.timeout(ROUNDS * ROUND_LIMIT_MS);
-    const load = new SteadyLoad(fleet, { perSecond: PER_SECOND, hosts: ['history.example'] });
+  it('get no more requests than they report, and none once they shut down', async function () {
+    this.timeout(ROUNDS * ROUND_TIMEOUT_MS);
+    const load = new SteadyLoad(fleet, { perSecond: REQUESTS_PER_SECOND, hosts: ['history.example'] });
     for (let done = 0; done < ROUNDS; done++) await round();
     await load[Symbol.asyncDispose]();
     const sent = new Map(load.requests.map(request => [request.id, request]));
-    histories.forEach(({ namings, leavings }, index) => {
+    histories.forEach(({ rateLimits, leavings }, index) => {
       const place = `at upstream ${String(index)}, seed ${SEED}`;
-      for (const naming of namings)
-        expect(beyond(index, naming, sent), `beyond a limit ${place}`).to.equal(0);
-      for (const leaving of leavings) expect(late(index, leaving, sent), `late ${place}`).to.deep.equal([]);
+      for (const limitSpan of rateLimits)
+        expect(excess(index, limitSpan, sent), `above a limit ${place}`).to.equal(0);
+      for (const leaving of leavings)
+        expect(
+          lateRequests(index, leaving, sent),
+          `requests after the shutdown notice ${place}`,
+        ).to.deep.equal([]);
     });
     expect(load.requests.some(({ status }) => status === 200)).to.equal(true);
   });
--- a/tests/upstreamNotices.spec.ts
+++ b/tests/upstreamNotices.spec.ts
@@ -5,16 +5,16 @@
 import { confirm } from './fixtures/receipts.js';
 import { smallFleet } from './fixtures/smallFleet.js';
 
-const HOLDS_AFTER_MS = 1500;
+const EFFECTIVE_AFTER_MS = 1500;
 const MEASURED_MS = 3000;
 const CALLERS = 8;
-const CUTS = 3;
-const CUT_MS = 700;
+const PARTITIONS = 3;
+const PARTITION_MS = 700;
 
-describe('what upstreams say of themselves in our own interface', () => {
+describe('upstream notices in the native interface', () => {
   let fleet: Fleet;
-  let said: FleetNode;
-  let entry: FleetNode;
+  let reporting: FleetNode;
+  let ingress: FleetNode;
 
   beforeEach(async () => {
     fleet = await smallFleet([
@@ -24,70 +24,70 @@
       ['alarms', 'regina-a'],
       ['exports', 'regina-a'],
     ]);
-    said = fleet.nodes[0]!;
-    entry = fleet.nodes[4]!;
+    reporting = fleet.nodes[0]!;
+    ingress = fleet.nodes[4]!;
   });
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
-  const runs = () => fleet.ledger(said).length;
+  const runs = () => fleet.ledger(reporting).length;
   const status = () => {
     const program = sharedFile('packages/cli/bin/cleatquay.js');
-    const args = [program, 'status', `--daemon=${entry.addresses.operator}`];
+    const args = [program, 'status', `--daemon=${ingress.addresses.operator}`];
     return execFileSync(process.execPath, args, { encoding: 'utf8' });
   };
-  /** Callers ask all the time; gives the outcomes once the work is done. */
-  const beside = async (work: () => Promise<void>): Promise<string[]> => {
-    let isOver = false;
+  /** Sends requests continuously while `work` runs. Returns their outcomes. */
+  const whileSending = async (work: () => Promise<void>): Promise<string[]> => {
+    let isDone = false;
     const outcomes: string[] = [];
-    const ask = async (caller: number) => {
-      for (let i = 0; !isOver; i++)
-        outcomes.push((await confirm(entry, `r${String(caller)}-${String(i)}`, {})).outcome);
+    const sendAll = async (caller: number) => {
+      for (let i = 0; !isDone; i++)
+        outcomes.push((await confirm(ingress, `r${String(caller)}-${String(i)}`, {})).outcome);
     };
-    const callers = Array.from({ length: CALLERS }, (_, caller) => ask(caller));
+    const callers = Array.from({ length: CALLERS }, (_, caller) => sendAll(caller));
     await work();
-    isOver = true;
+    isDone = true;
     await Promise.all(callers);
     return outcomes;
   };
 
-  it('a rate is kept to, is shown by the command line, and costs no caller an answer', async () => {
-    const outcomes = await beside(async () => {
-      await fleet.behave(said, { rateLimit: '5' });
-      await sleep(HOLDS_AFTER_MS);
+  it('observes a rate limit, shows it in the command line, and fails no request', async () => {
+    const outcomes = await whileSending(async () => {
+      await fleet.behave(reporting, { rateLimit: '5' });
+      await sleep(EFFECTIVE_AFTER_MS);
       const before = runs();
       await sleep(MEASURED_MS);
-      // Half a second of the rate may have gathered; some are under way at both ends.
+      // Tokens for half a second may have accumulated; some requests are in flight at both ends.
       expect(runs() - before).to.be.within(5, (5 * (MEASURED_MS + 500)) / 1000 + 2);
     });
     expect(outcomes.filter(outcome => outcome !== 'answered')).to.deep.equal([]);
-    expect(status()).to.match(new RegExp(`${said.addresses.inner}.* 5 *$`, 'm'));
+    expect(status()).to.match(new RegExp(`${reporting.addresses.inner}.* 5 *$`, 'm'));
   });
 
-  it('a rate is kept to while those that ask are cut off from it and back, in series', async () => {
-    await beside(async () => {
-      await fleet.behave(said, { rateLimit: '5' });
-      await sleep(HOLDS_AFTER_MS);
+  it('observes a rate limit while the ingress daemon is repeatedly partitioned from the upstream and reconnected', async () => {
+    await whileSending(async () => {
+      await fleet.behave(reporting, { rateLimit: '5' });
+      await sleep(EFFECTIVE_AFTER_MS);
       const before = runs();
-      for (let i = 0; i < CUTS; i++) {
-        await fleet.cut(entry, [said]);
-        await sleep(CUT_MS);
-        await fleet.cut(entry, []);
-        await sleep(CUT_MS);
+      for (let i = 0; i < PARTITIONS; i++) {
+        await fleet.cut(ingress, [reporting]);
+        await sleep(PARTITION_MS);
+        await fleet.cut(ingress, []);
+        await sleep(PARTITION_MS);
       }
-      expect(runs() - before).to.be.within(1, (5 * (2 * CUTS * CUT_MS + 500)) / 1000 + 2);
+      expect(runs() - before).to.be.within(1, (5 * (2 * PARTITIONS * PARTITION_MS + 500)) / 1000 + 2);
     });
   });
 
-  it('a leave is kept to while announcements say ready, and costs no caller an answer', async () => {
-    const outcomes = await beside(async () => {
-      await fleet.behave(said, { saysLeaving: true });
-      await sleep(HOLDS_AFTER_MS);
+  it('sends nothing to an upstream that is shutting down while its announcements report ready, and fails no request', async () => {
+    const outcomes = await whileSending(async () => {
+      await fleet.behave(reporting, { saysLeaving: true });
+      await sleep(EFFECTIVE_AFTER_MS);
       const before = runs();
       await sleep(MEASURED_MS);
       expect(runs()).to.equal(before);
     });
     expect(outcomes.filter(outcome => outcome !== 'answered')).to.deep.equal([]);
-    expect(status()).to.match(new RegExp(`${said.addresses.inner} .*draining`, 'm'));
+    expect(status()).to.match(new RegExp(`${reporting.addresses.inner} .*draining`, 'm'));
   });
 });
--- a/tests/upstreams.spec.ts
+++ b/tests/upstreams.spec.ts
@@ -5,7 +5,7 @@
 
 const HEARTBEAT_MS = 1500;
 
-describe('the upstreams of a daemon', () => {
+describe('Upstreams', () => {
   let clock: ManualClock;
   let upstreams: Upstreams;
   let sequence: number;
@@ -33,7 +33,7 @@
 
   afterEach(() => upstreams[Symbol.asyncDispose]());
 
-  const beat = (instanceId: string, change: Partial<Announcement> = {}) =>
+  const announce = (instanceId: string, change: Partial<Announcement> = {}) =>
     upstreams.announce({
       service: 'history',
       address: '127.0.0.1:1',
@@ -45,55 +45,55 @@
       instanceId,
       ...change,
     });
-  const known = () => upstreams.known.map(({ service, instanceId }) => `${service} ${instanceId}`);
+  const registered = () => upstreams.known.map(({ service, instanceId }) => `${service} ${instanceId}`);
 
-  describe('a heartbeat that was held up until the next instance had announced itself', () => {
-    it('does not bring its sender back', async () => {
-      await beat('first');
-      await beat('second');
-      await beat('first', { sequence: 100 });
+  describe('a heartbeat delayed until the next instance has announced itself', () => {
+    it('does not register its sender again', async () => {
+      await announce('first');
+      await announce('second');
+      await announce('first', { sequence: 100 });
       clock.advance(HEARTBEAT_MS);
-      await beat('second', { sequence: 101 });
-      await beat('first', { sequence: 102 });
-      expect(known()).to.deep.equal(['history second']);
+      await announce('second', { sequence: 101 });
+      await announce('first', { sequence: 102 });
+      expect(registered()).to.deep.equal(['history second']);
     });
 
-    it('is taken when the next one has fallen silent: then the sender lives', async () => {
-      await beat('first');
-      await beat('second');
+    it('registers its sender again if the next instance misses its heartbeats', async () => {
+      await announce('first');
+      await announce('second');
       clock.advance(2 * HEARTBEAT_MS);
-      await beat('first');
-      expect(known()).to.deep.equal(['history first']);
+      await announce('first');
+      expect(registered()).to.deep.equal(['history first']);
     });
   });
 
-  describe('a start under the id that an earlier one had', () => {
-    it('is another upstream, whose announcements count anew', async () => {
-      await beat('same', { born: 1000, sequence: 500 });
+  describe('a start with the instance id of an earlier one', () => {
+    it('is a new upstream, whose sequence numbers start anew', async () => {
+      await announce('same', { born: 1000, sequence: 500 });
       const former = upstreams.get('history');
-      await beat('same', { born: 2000, sequence: 1 });
+      await announce('same', { born: 2000, sequence: 1 });
       expect(upstreams.get('history')).to.not.equal(former);
       clock.advance(2 * HEARTBEAT_MS);
-      await beat('same', { born: 2000, sequence: 2 });
+      await announce('same', { born: 2000, sequence: 2 });
       clock.advance(2 * HEARTBEAT_MS);
-      expect(known()).to.deep.equal(['history same']);
+      expect(registered()).to.deep.equal(['history same']);
     });
 
-    it('is not replaced by a late announcement of the earlier one, also after it fell silent', async () => {
-      await beat('same', { born: 1000 });
-      await beat('same', { born: 2000, address: '127.0.0.1:2' });
-      await beat('same', { born: 1000, sequence: 900 });
+    it('is not replaced by a delayed announcement of the earlier one, also after it missed its heartbeats', async () => {
+      await announce('same', { born: 1000 });
+      await announce('same', { born: 2000, address: '127.0.0.1:2' });
+      await announce('same', { born: 1000, sequence: 900 });
       expect(upstreams.known.map(({ address }) => address)).to.deep.equal(['127.0.0.1:2']);
       clock.advance(4 * HEARTBEAT_MS);
-      await beat('same', { born: 1000, sequence: 901 });
-      expect(known()).to.deep.equal([]);
+      await announce('same', { born: 1000, sequence: 901 });
+      expect(registered()).to.deep.equal([]);
     });
 
-    it('is let in though the earlier one left, and not sent away by a late word of its leaving', async () => {
-      await beat('same', { born: 1000 });
+    it('is registered though the earlier one was shutting down, and is not affected by a delayed notice of that', async () => {
+      await announce('same', { born: 1000 });
       upstreams.leave('same', 1000);
       expect(upstreams.get('history')?.isDraining).to.equal(true);
-      await beat('same', { born: 2000 });
+      await announce('same', { born: 2000 });
       expect(upstreams.get('history')?.isDraining).to.equal(false);
       upstreams.leave('same', 1000);
       expect(upstreams.get('history')?.isDraining).to.equal(false);
@@ -103,32 +103,32 @@
   });
 
   describe('an address', () => {
-    it('belongs to whoever announced it last, of whatever service', async () => {
-      await beat('first');
-      await beat('second', { service: 'alarms' });
-      expect(known()).to.deep.equal(['alarms second']);
+    it('belongs to the upstream that announced it last, of whatever service', async () => {
+      await announce('first');
+      await announce('second', { service: 'alarms' });
+      expect(registered()).to.deep.equal(['alarms second']);
     });
 
-    it("at which another instance answers is nobody's until somebody announces it", async () => {
-      await beat('first');
+    it('at which another instance responds belongs to no upstream until one announces it', async () => {
+      await announce('first');
       upstreams.get('history')?.anotherAnswers();
-      expect(known()).to.deep.equal([]);
-      await beat('second');
-      expect(known()).to.deep.equal(['history second']);
+      expect(registered()).to.deep.equal([]);
+      await announce('second');
+      expect(registered()).to.deep.equal(['history second']);
     });
   });
 
-  describe('an upstream that says in an answer that it leaves', () => {
-    const LEAVING: AnswerNotice = { rateLimit: 'none', isLeaving: true };
-    const say = () => upstreams.get('history')!.heard(LEAVING, clock.awake());
+  describe('an upstream that reports in a response that it is shutting down', () => {
+    const LEAVING_NOTICE: AnswerNotice = { rateLimit: 'none', isLeaving: true };
+    const reportLeaving = () => upstreams.get('history')!.heard(LEAVING_NOTICE, clock.awake());
     const isDraining = () => upstreams.get('history')!.isDraining;
 
-    it('is leaving for as long as it lives, whatever its heartbeats and the operators say, and is recorded once', async () => {
-      await beat('a', { born: 1 });
-      say();
-      say();
+    it('drains until it ends, whatever its heartbeats report and operators set, and is recorded once', async () => {
+      await announce('a', { born: 1 });
+      reportLeaving();
+      reportLeaving();
       expect(isDraining()).to.equal(true);
-      await beat('a', { born: 1 });
+      await announce('a', { born: 1 });
       upstreams.setDraining(true);
       upstreams.setDraining(false);
       expect(isDraining()).to.equal(true);
@@ -136,25 +136,25 @@
       expect(departures).to.equal(1);
     });
 
-    it('is leaving also when it was out meanwhile, and its next start is not', async () => {
-      await beat('a', { born: 1 });
-      say();
+    it('still drains after it was removed meanwhile, and its next start does not', async () => {
+      await announce('a', { born: 1 });
+      reportLeaving();
       upstreams.get('history')!.refusedConnection();
-      await beat('a', { born: 1 });
+      await announce('a', { born: 1 });
       expect(upstreams.get('history')?.isDraining ?? true).to.equal(true);
-      await beat('a', { born: 2, sequence: 1 });
+      await announce('a', { born: 2, sequence: 1 });
       expect(isDraining()).to.equal(false);
     });
 
-    it('is leaving without a name, too', async () => {
-      await beat('');
-      say();
-      await beat('');
+    it('drains without an instance id, too', async () => {
+      await announce('');
+      reportLeaving();
+      await announce('');
       expect(isDraining()).to.equal(true);
       expect(upstreams.departures).to.deep.equal([]);
     });
 
-    it('is known to leave where a peer says so, before it announces itself', async () => {
+    it('is recorded when a peer reports the notice before the upstream announces itself', async () => {
       upstreams.told('history', {
         instanceId: 'a',
         born: 1,
@@ -162,20 +162,20 @@
         isLeaving: true,
       });
       expect(departures).to.equal(1);
-      await beat('a', { born: 1 });
+      await announce('a', { born: 1 });
       expect(upstreams.get('history')).to.equal(undefined);
     });
 
-    it('tells peers so, and one that operators drain does not', async () => {
-      await beat('a', { born: 1 });
+    it('reports that to peers, and one drained by operators does not', async () => {
+      await announce('a', { born: 1 });
       upstreams.setDraining(true);
       expect(upstreams.get('history')!.notice).to.equal(undefined);
       upstreams.setDraining(false);
-      say();
+      reportLeaving();
       expect(upstreams.get('history')!.notice).to.include({ instanceId: 'a', born: 1, isLeaving: true });
     });
 
-    it('is not believed of a start that makes no sense', async () => {
+    it('is ignored for an invalid start time', async () => {
       for (const born of [Number.NaN, 1.5, Number.POSITIVE_INFINITY])
         upstreams.told('history', {
           instanceId: 'a',
@@ -183,7 +183,7 @@
           requestsPerSecond: undefined,
           isLeaving: true,
         });
-      await beat('a', { born: 1 });
+      await announce('a', { born: 1 });
       expect(isDraining()).to.equal(false);
     });
   });
