--- a/packages/daemon/src/upstreams.ts
+++ b/packages/daemon/src/upstreams.ts
@@ -89,8 +89,9 @@
   /** Handles an announcement. Rejects with what is invalid. */
   async announce(data: unknown): Promise<void> {
     const announcement = checkAnnouncement(data);
-    const known = this.byService.get(announcement.service);
-    if (known && isSameStart(known.announcement, announcement)) return this.renew(known, announcement);
+    const registered = this.byService.get(announcement.service);
+    if (registered && isSameStart(registered.announcement, announcement))
+      return this.renew(registered, announcement);
     if (this.seenStarts.hasLater(announcement)) return;
     if (this.departedStarts.has(announcement)) return;
     if (this.isDelayedAnnouncement(announcement)) return;
@@ -316,23 +317,23 @@
   }
 
   /** Handles a heartbeat. Ignores delayed ones; an upstream that is shutting down stays so. */
-  private renew(known: RegisteredUpstream, announcement: Announcement): void {
-    if (announcement.sequence > 0 && announcement.sequence <= known.announcement.sequence) return;
-    known.heartbeatTimer[Symbol.dispose]();
-    known.heartbeatTimer = this.startHeartbeatTimer(announcement);
-    known.lastHeartbeatAt = this.options.clock.now();
-    known.announcement = announcement;
-    known.admission.limit.announce(this.effectiveSlots(announcement));
+  private renew(upstream: RegisteredUpstream, announcement: Announcement): void {
+    if (announcement.sequence > 0 && announcement.sequence <= upstream.announcement.sequence) return;
+    upstream.heartbeatTimer[Symbol.dispose]();
+    upstream.heartbeatTimer = this.startHeartbeatTimer(announcement);
+    upstream.lastHeartbeatAt = this.options.clock.now();
+    upstream.announcement = announcement;
+    upstream.admission.limit.announce(this.effectiveSlots(announcement));
     if (announcement.state === 'draining') this.departedStarts.add(announcement);
-    this.setLeaving(known, this.isLeaving(known));
+    this.setLeaving(upstream, this.isLeaving(upstream));
   }
 
-  private setLeaving(known: RegisteredUpstream, isLeaving: boolean): void {
-    const isDraining = known.isDrainedByOperator || isLeaving;
-    if (isDraining === known.isDraining) return;
-    known.isDraining = isDraining;
+  private setLeaving(upstream: RegisteredUpstream, isLeaving: boolean): void {
+    const isDraining = upstream.isDrainedByOperator || isLeaving;
+    if (isDraining === upstream.isDraining) return;
+    upstream.isDraining = isDraining;
     this.options.log(isDraining ? 'An upstream is draining.' : 'An upstream is no longer draining.', {
-      ...known.announcement,
+      ...upstream.announcement,
     });
     this.notifyChange();
   }
