--- a/packages/daemon/src/organisationSide.ts
+++ b/packages/daemon/src/organisationSide.ts
@@ -15,7 +15,10 @@
   readonly configuration: ProvenConfiguration;
   /** The keys of the active configuration; undefined if requests need none. */
   readonly keyring: () => Keyring | undefined;
-  /** Longest time for which a key may be accepted after it was revoked, ms; undefined if that isn't limited for a daemon without contact. */
+  /**
+   * Longest time for which a key may be accepted after it was revoked, ms; undefined if daemons that receive no updates
+   * may go on accepting it.
+   */
   readonly revocationMs: number | undefined;
   readonly failureDomain: string;
   readonly division: QuotaDivision;
--- a/packages/daemon/src/readers.ts
+++ b/packages/daemon/src/readers.ts
@@ -25,11 +25,10 @@
  */
 const OTHER_DOMAIN_FETCH_DELAY_MS = 150;
 /**
- * Time between the ends of the long polls of any two readers of the fleet, ms, however many readers there are. An open
- * connection to the platform may stop responding for good while new ones work, and that shows only when a poll ends. So
- * one poll ends within this time, and its daemon informs the others. A change must be active within 2 s, or within 3 s
- * if connections stopped responding. A shorter time would cost more calls: this one makes one call a second for the
- * whole fleet.
+ * Time between consecutive ends of long polls in the fleet, ms, however many readers there are. An open connection to
+ * the platform may stop responding for good while new ones work, and that shows only when a poll ends. So one poll ends
+ * within this time, and its daemon informs the others. A change must be active within 2 s, or within 3 s if connections
+ * stopped responding. A shorter time would cost more calls: this one makes one call a second for the whole fleet.
  */
 const WAIT_STAGGER_MS = 1000;
 /**
@@ -43,7 +42,7 @@
 const TYPICAL_READERS = 6;
 /** Maximum number of daemons that ask the same daemon for freshness proofs. For readers it applies to each. */
 const MAX_ASKERS_PER_DAEMON = 16;
-/** A daemon that received nothing from others for this time reads for itself, ms. Usually it hears from them about twice a second. */
+/** A daemon that received nothing from others for this time reads for itself, ms. Otherwise there are about two messages a second. */
 const ISOLATED_AFTER_MS = 1500;
 
 /**
@@ -125,9 +124,9 @@
    */
   waitMs(isFirst: boolean): number {
     const readers = this.allReaders;
-    const place = readers.indexOf(this.membership.me.address);
-    if (place < 0) return TYPICAL_READERS * WAIT_STAGGER_MS;
-    return (isFirst ? place + 1 : readers.length) * WAIT_STAGGER_MS;
+    const position = readers.indexOf(this.membership.me.address);
+    if (position < 0) return TYPICAL_READERS * WAIT_STAGGER_MS;
+    return (isFirst ? position + 1 : readers.length) * WAIT_STAGGER_MS;
   }
 
   /**
@@ -138,10 +137,10 @@
     const { sameDomainReaders } = this;
     const others = sameDomainReaders.filter(address => address !== this.membership.me.address);
     const ranked = rankedMembers(this.failureDomain, this.membership.table.all());
-    const place = ranked.findIndex(({ address }) => address === this.membership.me.address);
-    if (place < (MAX_ASKERS_PER_DAEMON + 1) * sameDomainReaders.length) return others;
+    const position = ranked.findIndex(({ address }) => address === this.membership.me.address);
+    if (position < (MAX_ASKERS_PER_DAEMON + 1) * sameDomainReaders.length) return others;
     return ranked
-      .slice(Math.floor(place / MAX_ASKERS_PER_DAEMON), Math.floor(place / MAX_ASKERS_PER_DAEMON) + 1)
+      .slice(Math.floor(position / MAX_ASKERS_PER_DAEMON), Math.floor(position / MAX_ASKERS_PER_DAEMON) + 1)
       .map(({ address }) => address);
   }
 
--- a/packages/daemon/src/upstreams.ts
+++ b/packages/daemon/src/upstreams.ts
@@ -76,7 +76,7 @@
   /** Responses of the local upstreams, and how many of them reported a rate limit. */
   readonly counts = { answers: 0, withRateLimit: 0 };
   private readonly byService = new Map<string, RegisteredUpstream>();
-  /** The latest start of each instance that reported that it is shutting down, that was replaced, and that was seen at all. */
+  /** Latest start of each instance: of those that reported to be shutting down, of those replaced, and of all seen. */
   private readonly departedStarts = new InstanceStarts();
   private readonly replacedStarts = new InstanceStarts();
   private readonly seenStarts = new InstanceStarts();
