--- a/packages/organisations/src/credentials.ts
+++ b/packages/organisations/src/credentials.ts
@@ -1,19 +1,19 @@
-/** What a caller shows of itself. Its key is turned into a digest here and kept nowhere. */
+/** Reads the credentials of a caller. Only the digest of an API key is kept, never the key. */
 import { hash } from 'node:crypto';
 
-/** `none` without any, `malformed` for what is no single key, else the digest of the key. */
+/** `none` if the header is absent, `malformed` if it isn't a single bearer key, else the digest of the key. */
 export type Credentials = 'none' | 'malformed' | { readonly keyDigest: string };
 
 const BEARER = /^bearer +([\x21-\x7e]+)$/i;
-/** Keys have some twenty characters; longer texts aren't worth a digest. */
-const LONGEST_HEADER = 1024;
+/** Keys have about twenty characters; longer headers are rejected without hashing them. */
+const MAX_HEADER_CHARS = 1024;
 
-/** Names a key without giving it away. The time that it takes depends on the length of the key only. */
+/** Identifies a key without revealing it. The running time depends only on the key's length. */
 export function digestOfKey(key: string): string {
   return hash('sha256', key, 'base64url');
 }
 
-/** Reads the credentials in a header, named in lower case, among node's raw ones, names and values by turns. */
+/** Parses the credentials in a header (lower-case name) of node's raw headers, alternating names and values. */
 export function credentialsIn(rawHeaders: readonly string[], header: string): Credentials {
   let found: string | undefined;
   for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
@@ -23,6 +23,6 @@
     found = rawHeaders[i + 1] ?? '';
   }
   if (found === undefined) return 'none';
-  const [, key] = found.length > LONGEST_HEADER ? [] : (BEARER.exec(found) ?? []);
+  const [, key] = found.length > MAX_HEADER_CHARS ? [] : (BEARER.exec(found) ?? []);
   return key === undefined ? 'malformed' : { keyDigest: digestOfKey(key) };
 }
--- a/packages/organisations/src/holders.ts
+++ b/packages/organisations/src/holders.ts
@@ -1,77 +1,79 @@
-/** Whom this daemon takes for the ones that give out quotas: in its own failure domain, and in the others. */
-import { holderOf } from './shards.js';
+/** Which daemons this daemon regards as the quota coordinators of its own failure domain and of the others. */
+import { coordinatorOf } from './shards.js';
 
-/** How long the daemon that gives out counts as known, ms: each request asks. */
-const KNOWN_FOR_MS = 25;
-/** One that gave no answer is passed over for so long, ms: until membership has found out. */
-const LOST_FOR_MS = 2000;
+/** The coordinator is looked up for every request, so the result is cached this long. */
+const CACHE_MS = 25;
+/** A daemon that didn't respond is skipped this long; by then membership has detected its failure. */
+const UNRESPONSIVE_FOR_MS = 2000;
 
-/** A daemon that may give out. */
+/** A daemon that can be a coordinator. */
 export interface QuotaMember {
   readonly gossipAddress: string;
   readonly failureDomain: string;
 }
 
-/** Where a daemon stands, and whom it knows. */
-export interface HoldersOptions {
+/** The daemon's own position, and the members it knows. */
+export interface CoordinatorDirectoryOptions {
   /** Gossip address of this daemon. */
   readonly self: string;
   readonly failureDomain: string;
-  /** Daemons that are up, this one among them. */
+  /** Daemons that are up, including this one. */
   readonly members: () => Iterable<QuotaMember>;
 }
 
-/** The daemons that give out, as one daemon sees them. */
-export class Holders {
-  private readonly known = new Map<number, { readonly address: string; readonly at: number }>();
-  private readonly lostUntil = new Map<string, number>();
-  private readonly heardAt = new Map<string, number>();
+/** The coordinators from one daemon's point of view. */
+export class CoordinatorDirectory {
+  private readonly cache = new Map<number, { readonly address: string; readonly at: number }>();
+  private readonly unresponsiveUntil = new Map<string, number>();
+  private readonly respondedAt = new Map<string, number>();
 
-  constructor(private readonly options: HoldersOptions) {}
+  constructor(private readonly options: CoordinatorDirectoryOptions) {}
 
-  /** The one of the own failure domain, by its gossip address. */
-  near(shard: number, now: number): string {
-    const known = this.known.get(shard);
-    if (known && now - known.at < KNOWN_FOR_MS) return known.address;
-    const address = this.find(shard, now);
-    this.known.set(shard, { address, at: now });
+  /** Gossip address of the coordinator in this daemon's failure domain. */
+  local(shard: number, now: number): string {
+    const cached = this.cache.get(shard);
+    if (cached && now - cached.at < CACHE_MS) return cached.address;
+    const address = this.select(shard, now);
+    this.cache.set(shard, { address, at: now });
     return address;
   }
 
-  /** Those of the other failure domains. */
-  far(shard: number): string[] {
+  /** Gossip addresses of the coordinators in the other failure domains. */
+  remote(shard: number): string[] {
     const { failureDomain, members } = this.options;
     const domains = new Map<string, string[]>();
     for (const { failureDomain: domain, gossipAddress } of members()) {
       if (domain !== failureDomain) domains.set(domain, [...(domains.get(domain) ?? []), gossipAddress]);
     }
-    return [...domains.values()].flatMap(addresses => holderOf(shard, addresses) ?? []);
+    return [...domains.values()].flatMap(addresses => coordinatorOf(shard, addresses) ?? []);
   }
 
-  /** Whether a daemon is of the own failure domain. */
-  isNear(daemon: string): boolean {
+  /** Whether a daemon is in this daemon's failure domain. */
+  isInOwnDomain(daemon: string): boolean {
     const { failureDomain, members } = this.options;
     return [...members()].some(m => m.gossipAddress === daemon && m.failureDomain === failureDomain);
   }
 
-  /** It gave no answer to a question of then. It is lost if it has answered none since: a single datagram may get lost. */
-  silent(daemon: string, askedAt: number, now: number): void {
-    if ((this.heardAt.get(daemon) ?? Number.NEGATIVE_INFINITY) >= askedAt) return;
-    this.lostUntil.set(daemon, now + LOST_FOR_MS);
-    this.known.clear();
+  /**
+   * Marks a daemon as unresponsive after a request of `sentAt` timed out, unless it has responded since
+   * then: a single datagram may get lost.
+   */
+  recordTimeout(daemon: string, sentAt: number, now: number): void {
+    if ((this.respondedAt.get(daemon) ?? Number.NEGATIVE_INFINITY) >= sentAt) return;
+    this.unresponsiveUntil.set(daemon, now + UNRESPONSIVE_FOR_MS);
+    this.cache.clear();
   }
 
-  /** It gave one. */
-  heard(daemon: string, now: number): void {
-    this.heardAt.set(daemon, now);
-    this.lostUntil.delete(daemon);
+  recordResponse(daemon: string, now: number): void {
+    this.respondedAt.set(daemon, now);
+    this.unresponsiveUntil.delete(daemon);
   }
 
-  private find(shard: number, now: number): string {
+  private select(shard: number, now: number): string {
     const { self, failureDomain, members } = this.options;
-    const near = [...members()].filter(member => member.failureDomain === failureDomain);
-    const addresses = near.map(({ gossipAddress }) => gossipAddress);
-    const usable = addresses.filter(address => now >= (this.lostUntil.get(address) ?? 0));
-    return holderOf(shard, [self, ...usable]) ?? self;
+    const local = [...members()].filter(member => member.failureDomain === failureDomain);
+    const addresses = local.map(({ gossipAddress }) => gossipAddress);
+    const usable = addresses.filter(address => now >= (this.unresponsiveUntil.get(address) ?? 0));
+    return coordinatorOf(shard, [self, ...usable]) ?? self;
   }
 }
--- a/packages/organisations/src/keyring.ts
+++ b/packages/organisations/src/keyring.ts
@@ -1,4 +1,4 @@
-/** Finds the organisation that holds a key. */
+/** Maps API keys to organisations. */
 import { type Organisation } from './organisation.js';
 
 /** The keys of one version of the configuration. */
@@ -13,17 +13,17 @@
     }
   }
 
-  /** The ranks of those that have one. */
+  /** The ranks that organisations declare. */
   get ranks(): number[] {
     return this.organisations.flatMap(({ rank }) => rank ?? []);
   }
 
-  /** Undefined for one that there is not. */
+  /** Undefined if there is no such organisation. */
   get(name: string): Organisation | undefined {
     return this.byName.get(name);
   }
 
-  /** Undefined for a key that nobody holds. */
+  /** Undefined if no organisation has the key. */
   holderOf(keyDigest: string): Organisation | undefined {
     return this.byDigest.get(keyDigest);
   }
--- a/packages/organisations/src/organisation.ts
+++ b/packages/organisations/src/organisation.ts
@@ -1,19 +1,19 @@
-/** What is declared of an organisation. */
+/** Configuration of an organisation. */
 
-/** How much of an organisation may run in the whole fleet. */
+/** Limit on an organisation's requests in the whole fleet. */
 export interface Quota {
-  /** Requests a second, for as long as it likes. */
+  /** Sustained requests per second. */
   readonly perSecond: number;
-  /** Requests beyond that, at once. */
+  /** Requests beyond the sustained rate that may run at once. */
   readonly burst: number;
 }
 
-/** One organisation that sends requests. */
+/** An organisation that sends requests. */
 export interface Organisation {
   readonly name: string;
-  /** Digests of its keys, see `digestOfKey`. */
+  /** Digests of its API keys, see `digestOfKey`. */
   readonly keyDigests: readonly string[];
-  /** 0 is the most important; undefined where only its requests' routes tell. */
+  /** 0 is the highest priority; undefined if the priority follows from the route alone. */
   readonly rank: number | undefined;
   /** Undefined for no limit. */
   readonly quota: Quota | undefined;
--- a/packages/organisations/src/quotaHolder.ts
+++ b/packages/organisations/src/quotaHolder.ts
@@ -1,4 +1,4 @@
-/** Gives out the quotas of those shards for which the daemons of the failure domain take this daemon for the one that does. */
+/** Grants requests of those shards for which the failure domain's daemons regard this daemon as coordinator. */
 import {
   type QuotaAnswer,
   type QuotaAsk,
@@ -7,89 +7,97 @@
   type ShareLoan,
 } from '@cleatquay/protocol';
 import { type Quota } from './organisation.js';
-import { type QuotaDivision, QuotaPots } from './quotaPots.js';
-import { LOAN_MS } from './shareLoans.js';
-import { SHARDS, shardOf } from './shards.js';
+import { type QuotaDivision, QuotaBuckets } from './quotaPots.js';
+import { LEASE_MS } from './shareLoans.js';
+import { SHARD_COUNT, shardOf } from './shards.js';
 
-/** With less of a failure domain's shares, as in the first moments in which others take it for the one that gives out, it can't say that a quota is used up. */
-const TELLING_SHARE = 1 / 4;
+/**
+ * With a smaller share of its failure domain's quota, as just after it became coordinator, a daemon can't tell
+ * that a quota is exhausted.
+ */
+const MIN_CONCLUSIVE_SHARE = 1 / 4;
 
-/** What the holder needs of its daemon. */
-export interface QuotaHolderOptions {
-  /** Goes on while the VM is suspended, and never back, ms. */
+/** Dependencies of the coordinator. */
+export interface QuotaCoordinatorOptions {
+  /** Monotonic time that includes suspension of the VM, ms. */
   readonly now: () => number;
-  /** Start of this process. */
+  /** Identifies this process of the daemon. */
   readonly epoch: () => number;
   readonly division: QuotaDivision;
-  /** By organisation; undefined for one that is not known, 'none' for no limit. */
+  /** Quota by organisation; undefined if the organisation is unknown, 'none' if it has no limit. */
   readonly quotaOf: (organisation: string) => Quota | 'none' | undefined;
-  /** Whether a daemon, by its gossip address, is of this failure domain, so that its share is one of those given out here. */
-  readonly isNear: (daemon: string) => boolean;
+  /** Whether a daemon (by gossip address) is in this failure domain, so that its share may be granted here. */
+  readonly isInOwnDomain: (daemon: string) => boolean;
 }
 
-/** The pots of all shards, of which most are in use at other daemons. */
-export class QuotaHolder {
-  private readonly shards: readonly QuotaPots[];
+/** The token buckets of all shards; most shards are coordinated by other daemons. */
+export class QuotaCoordinator {
+  private readonly shards: readonly QuotaBuckets[];
 
-  constructor(private readonly options: QuotaHolderOptions) {
-    this.shards = Array.from({ length: SHARDS }, () => new QuotaPots(options.division));
+  constructor(private readonly options: QuotaCoordinatorOptions) {
+    this.shards = Array.from({ length: SHARD_COUNT }, () => new QuotaBuckets(options.division));
   }
 
-  /** Has pots for these organisations. */
-  keep(quotas: ReadonlyMap<string, Quota>): void {
-    for (const [shard, pots] of this.shards.entries()) {
+  /** Creates buckets for these organisations and removes others. */
+  setQuotas(quotas: ReadonlyMap<string, Quota>): void {
+    for (const [shard, buckets] of this.shards.entries()) {
       const own = [...quotas].filter(([name]) => shardOf(name) === shard);
-      pots.keep(new Map(own), this.options.now());
+      buckets.setQuotas(new Map(own), this.options.now());
     }
   }
 
-  /** Another daemon, by its gossip address, asks. */
-  answer({ number, shard, asks, loan, isTransfer }: QuotaQuestion, from: string): QuotaAnswer {
-    const { now, epoch, isNear } = this.options;
-    if (loan?.epoch === epoch() && isNear(from)) this.lent(shard, from, loan.share, loan.until);
-    const grants = asks.map(ask => this.grantOf(ask, isTransfer));
-    const offer: ShareLoan = { epoch: epoch(), until: now() + LOAN_MS, share: 0 };
+  /** Handles a request of another daemon, identified by its gossip address. */
+  handleRequest({ number, shard, asks, loan, isTransfer }: QuotaQuestion, from: string): QuotaAnswer {
+    const { now, epoch, isInOwnDomain } = this.options;
+    if (loan?.epoch === epoch() && isInOwnDomain(from)) this.acceptLease(shard, from, loan.share, loan.until);
+    const grants = asks.map(ask => this.grantFor(ask, isTransfer));
+    const offer: ShareLoan = { epoch: epoch(), until: now() + LEASE_MS, share: 0 };
     return { number, shard, grants, offer };
   }
 
-  /** A share of a shard may be given out here for a while. */
-  lent(shard: number, lender: string, share: number, until: number): void {
-    this.shards[shard]?.loans.take(lender, share, until, this.options.now());
+  /** Takes over a daemon's share of a shard until the lease expires. */
+  acceptLease(shard: number, lessor: string, share: number, until: number): void {
+    this.shards[shard]?.leases.add(lessor, share, until, this.options.now());
   }
 
-  /** This daemon itself asks. */
-  ask(organisation: string, requests: number): QuotaGrant {
-    return this.grantOf({ organisation, requests }, false);
+  /** Grants requests of this daemon itself. */
+  grant(organisation: string, requests: number): QuotaGrant {
+    return this.grantFor({ organisation, requests }, false);
   }
 
-  /** What the organisation's pot is short of, so that other failure domains should be asked; 0 if nothing. */
-  lack(organisation: string, quota: Quota): number {
-    return this.potsOf(organisation).lack(organisation, quota, this.options.now());
+  /** Tokens to request from other failure domains for an organisation; 0 if none are needed. */
+  deficit(organisation: string, quota: Quota): number {
+    return this.bucketsOf(organisation).deficit(organisation, quota, this.options.now());
   }
 
-  /** Another failure domain handed something over. */
-  receive(organisation: string, handed: number): void {
+  /** Adds tokens from another failure domain. */
+  transferIn(organisation: string, tokens: number): void {
     const quota = this.options.quotaOf(organisation);
     if (typeof quota !== 'object') return;
-    this.potsOf(organisation).receive(organisation, quota, handed, this.options.now());
+    this.bucketsOf(organisation).transferIn(organisation, quota, tokens, this.options.now());
   }
 
-  /** Part of a shard's quotas that is given out here, 0 to 1. */
+  /** Share of a shard's quotas that this daemon may grant, 0 to 1. */
   shareOf(shard: number): number {
-    return this.shards[shard]?.loans.current(this.options.now()) ?? 0;
+    return this.shards[shard]?.leases.currentShare(this.options.now()) ?? 0;
   }
 
-  private grantOf({ organisation, requests }: QuotaAsk, isTransfer: boolean): QuotaGrant {
+  private grantFor({ organisation, requests }: QuotaAsk, isTransfer: boolean): QuotaGrant {
     const quota = this.options.quotaOf(organisation);
     const nothing = { organisation, requests: 0, delayMs: 0, retryAfterMs: 0, unknown: quota === undefined };
     if (quota === undefined || !(requests > 0)) return nothing;
     if (quota === 'none') return { ...nothing, requests };
     if (isTransfer) {
-      const handed = this.potsOf(organisation).handOver(organisation, quota, requests, this.options.now());
-      return { ...nothing, requests: handed };
+      const tokens = this.bucketsOf(organisation).transferOut(
+        organisation,
+        quota,
+        requests,
+        this.options.now(),
+      );
+      return { ...nothing, requests: tokens };
     }
-    const grant = this.potsOf(organisation).grant(organisation, quota, requests, this.options.now());
-    if (grant.requests < requests && this.shareOf(shardOf(organisation)) < TELLING_SHARE)
+    const grant = this.bucketsOf(organisation).grant(organisation, quota, requests, this.options.now());
+    if (grant.requests < requests && this.shareOf(shardOf(organisation)) < MIN_CONCLUSIVE_SHARE)
       return { ...nothing, requests: grant.requests, unknown: true };
     const { delayMs, retryAfterMs } = grant;
     return {
@@ -100,9 +108,9 @@
     };
   }
 
-  private potsOf(organisation: string): QuotaPots {
-    const pots = this.shards[shardOf(organisation)];
-    if (!pots) throw new Error('No such shard.');
-    return pots;
+  private bucketsOf(organisation: string): QuotaBuckets {
+    const buckets = this.shards[shardOf(organisation)];
+    if (!buckets) throw new Error('Shard index is out of range.');
+    return buckets;
   }
 }
--- a/packages/organisations/src/quotaPots.ts
+++ b/packages/organisations/src/quotaPots.ts
@@ -1,140 +1,157 @@
 /**
- * What one daemon gives out of organisations' quotas for its failure domain: for each organisation a pot that fills at the quota's rate, by as much as
- * this daemon may use of it, and holds as much as the quota allows at once.
+ * Token buckets from which one daemon grants requests for its failure domain. Each organisation's bucket
+ * refills at the quota's rate, scaled by the share that this daemon has leased, up to the quota's burst.
  *
- * Answers to: callers of one organisation who press on a few daemons of many. They all draw from one pot, so that nobody is refused while the failure domain's
- * part of the quota has room.
+ * One bucket per failure domain lets an organisation whose callers use only a few of many daemons have the
+ * domain's whole part of the quota.
  */
 import { type Quota } from './organisation.js';
-import { ShareLoans } from './shareLoans.js';
+import { ShareLeases } from './shareLoans.js';
 
-/** A request may run at once or so much later, ms: a wait that serves is better than a refusal, and short beside all timeouts. */
-const LONGEST_DELAY_MS = 150;
-/** Those that are refused come back one after the other; further away than this they would not wait, ms. */
-const LONGEST_RETRY_MS = 5000;
-/** Part of a pot that stays where it is when another failure domain asks. */
-const KEPT_PART = 1 / 2;
-const MS_A_SECOND = 1000;
+/**
+ * Requests may be granted ahead and delayed up to this long: a short wait is better than a refusal, and far
+ * below any timeout.
+ */
+const MAX_DELAY_MS = 150;
+/**
+ * Refused requests are told to retry one after the other, but no later than this: callers wouldn't wait longer.
+ */
+const MAX_RETRY_AFTER_MS = 5000;
+/** Fraction of a bucket that is not transferred to another failure domain. */
+const KEPT_FRACTION = 1 / 2;
+const MS_PER_SECOND = 1000;
 
-/** What is granted of what was asked. */
+/** Outcome of a request for tokens. */
 export interface Grant {
   readonly requests: number;
-  /** After so many ms. */
+  /** How long the granted requests have to wait. */
   readonly delayMs: number;
-  /** When another may come, ms from now; 0 if all were granted. */
+  /** When a refused request may be retried, ms from now; 0 if all were granted. */
   readonly retryAfterMs: number;
 }
 
-interface Pot {
-  /** Below zero by what was granted ahead. */
-  level: number;
-  /** What it holds where all may be given out. */
-  whole: number;
-  /** `wholeMs` of the loans when it was last filled. */
-  filledTo: number;
-  /** When the last of those that were refused was told to come back. */
-  lastReturn: number;
+interface TokenBucket {
+  /** Negative if requests were granted ahead. */
+  tokens: number;
+  /** Capacity with the whole of the failure domain's quota leased. */
+  capacity: number;
+  /** `fullShareMs` of the leases at the last refill. */
+  refilledTo: number;
+  /** The retry time that the last refused request was given. */
+  lastRetryAt: number;
 }
 
-/** How quotas are divided. */
+/** How quotas are divided among failure domains. */
 export interface QuotaDivision {
-  /** Failure domains, each of which gives out an equal part. */
+  /** Number of failure domains; each grants an equal part. */
   readonly failureDomains: number;
-  /** Requests of an organisation that may run beyond its quota in one window. */
+  /** Requests of an organisation that may exceed its quota in one window. */
   readonly slack: number;
 }
 
-/** The pots of one shard of the organisations. */
-export class QuotaPots {
-  /** The parts of the quotas that may be given out here. */
-  readonly loans = new ShareLoans(current => this.shrink(current));
-  private readonly pots = new Map<string, Pot>();
+/** The token buckets of one shard of the organisations. */
+export class QuotaBuckets {
+  /** Shares of the failure domain's quotas that are leased to this daemon. */
+  readonly leases = new ShareLeases(current => this.clampTokens(current));
+  private readonly buckets = new Map<string, TokenBucket>();
 
   constructor(private readonly division: QuotaDivision) {}
 
-  /** Has a pot for each organisation with a quota and no others; a new one begins to fill now. */
-  keep(quotas: ReadonlyMap<string, Quota>, now: number): void {
-    for (const name of this.pots.keys()) if (!quotas.has(name)) this.pots.delete(name);
-    for (const [name, quota] of quotas) this.filled(name, quota, now);
+  /** Keeps exactly one bucket per organisation with a quota; a new bucket starts to refill now. */
+  setQuotas(quotas: ReadonlyMap<string, Quota>, now: number): void {
+    for (const name of this.buckets.keys()) if (!quotas.has(name)) this.buckets.delete(name);
+    for (const [name, quota] of quotas) this.refill(name, quota, now);
   }
 
-  /** Grants as many of the requests as have room. */
-  grant(organisation: string, quota: Quota, asked: number, now: number): Grant {
-    const pot = this.filled(organisation, quota, now);
-    const perMs = this.perMs(quota, now);
-    const ahead = perMs * LONGEST_DELAY_MS;
-    const requests = Math.max(0, Math.min(asked, Math.floor(pot.level + ahead)));
-    pot.level -= requests;
-    const delayMs = requests > 0 && pot.level < 0 ? -pot.level / perMs : 0;
-    return { requests, delayMs, retryAfterMs: requests < asked ? this.nextReturn(pot, perMs, now) : 0 };
+  /** Grants as many of the requests as the bucket allows. */
+  grant(organisation: string, quota: Quota, wanted: number, now: number): Grant {
+    const bucket = this.refill(organisation, quota, now);
+    const perMs = this.tokensPerMs(quota, now);
+    const ahead = perMs * MAX_DELAY_MS;
+    const requests = Math.max(0, Math.min(wanted, Math.floor(bucket.tokens + ahead)));
+    bucket.tokens -= requests;
+    const delayMs = requests > 0 && bucket.tokens < 0 ? -bucket.tokens / perMs : 0;
+    return {
+      requests,
+      delayMs,
+      retryAfterMs: requests < wanted ? this.nextRetryAfterMs(bucket, perMs, now) : 0,
+    };
   }
 
-  /** Hands over what another failure domain is short of, with fractions; the half of a full pot stays. */
-  handOver(organisation: string, quota: Quota, asked: number, now: number): number {
-    const pot = this.filled(organisation, quota, now);
-    const spare = Math.max(0, pot.level - this.depth(quota, now) * KEPT_PART);
-    const handed = Math.min(asked, spare);
-    pot.level -= handed;
-    return handed;
+  /** Removes tokens (possibly a fraction) for another failure domain; half of the capacity stays. */
+  transferOut(organisation: string, quota: Quota, wanted: number, now: number): number {
+    const bucket = this.refill(organisation, quota, now);
+    const spare = Math.max(0, bucket.tokens - this.leasedCapacity(quota, now) * KEPT_FRACTION);
+    const transferred = Math.min(wanted, spare);
+    bucket.tokens -= transferred;
+    return transferred;
   }
 
-  /** Takes what another failure domain handed over; what the pot can't hold is lost. */
-  receive(organisation: string, quota: Quota, handed: number, now: number): void {
-    if (!(handed > 0)) return;
-    const pot = this.filled(organisation, quota, now);
-    pot.level = Math.min(this.depth(quota, now), pot.level + handed);
+  /** Adds tokens from another failure domain; those beyond the capacity are lost. */
+  transferIn(organisation: string, quota: Quota, transferred: number, now: number): void {
+    if (!(transferred > 0)) return;
+    const bucket = this.refill(organisation, quota, now);
+    bucket.tokens = Math.min(this.leasedCapacity(quota, now), bucket.tokens + transferred);
   }
 
-  /** How much the pot lacks, if it holds less than it keeps for itself; else 0. */
-  lack(organisation: string, quota: Quota, now: number): number {
-    const depth = this.depth(quota, now);
-    const { level } = this.filled(organisation, quota, now);
-    return level < depth * KEPT_PART ? depth - level : 0;
+  /** Tokens missing to the full capacity if the bucket holds less than the fraction it keeps, else 0. */
+  deficit(organisation: string, quota: Quota, now: number): number {
+    const capacity = this.leasedCapacity(quota, now);
+    const { tokens } = this.refill(organisation, quota, now);
+    return tokens < capacity * KEPT_FRACTION ? capacity - tokens : 0;
   }
 
-  /** What was lent elsewhere is in the pots there from now on. */
-  private shrink(current: number): void {
-    for (const pot of this.pots.values()) pot.level = Math.min(pot.level, pot.whole * current);
+  /** After a share was leased elsewhere, its tokens are counted in the buckets there. */
+  private clampTokens(current: number): void {
+    for (const bucket of this.buckets.values())
+      bucket.tokens = Math.min(bucket.tokens, bucket.capacity * current);
   }
 
-  /** A pot is empty at first: a daemon that has just started, or begins to give out, must not give out once more what others have. */
-  private filled(organisation: string, quota: Quota, now: number): Pot {
-    const wholeMs = this.loans.wholeMs(now);
-    let pot = this.pots.get(organisation);
-    if (!pot) this.pots.set(organisation, (pot = { level: 0, whole: 0, filledTo: wholeMs, lastReturn: 0 }));
-    const gained = ((wholeMs - pot.filledTo) / MS_A_SECOND) * this.rate(quota);
-    pot.filledTo = wholeMs;
-    pot.whole = this.whole(quota);
-    pot.level = Math.min(this.depth(quota, now), pot.level + gained);
-    return pot;
+  /**
+   * A new bucket starts empty: after a restart or a change of coordinator, tokens that others have granted must
+   * not be granted again.
+   */
+  private refill(organisation: string, quota: Quota, now: number): TokenBucket {
+    const fullShareMs = this.leases.fullShareMs(now);
+    let bucket = this.buckets.get(organisation);
+    if (!bucket)
+      this.buckets.set(
+        organisation,
+        (bucket = { tokens: 0, capacity: 0, refilledTo: fullShareMs, lastRetryAt: 0 }),
+      );
+    const added = ((fullShareMs - bucket.refilledTo) / MS_PER_SECOND) * this.domainRate(quota);
+    bucket.refilledTo = fullShareMs;
+    bucket.capacity = this.domainCapacity(quota);
+    bucket.tokens = Math.min(this.leasedCapacity(quota, now), bucket.tokens + added);
+    return bucket;
   }
 
-  private rate({ perSecond }: Quota): number {
+  private domainRate({ perSecond }: Quota): number {
     return perSecond / this.division.failureDomains;
   }
 
-  private perMs(quota: Quota, now: number): number {
-    return (this.rate(quota) * this.loans.current(now)) / MS_A_SECOND;
+  private tokensPerMs(quota: Quota, now: number): number {
+    return (this.domainRate(quota) * this.leases.currentShare(now)) / MS_PER_SECOND;
   }
 
-  private depth(quota: Quota, now: number): number {
-    return this.whole(quota) * this.loans.current(now);
+  private leasedCapacity(quota: Quota, now: number): number {
+    return this.domainCapacity(quota) * this.leases.currentShare(now);
   }
 
-  private whole({ burst }: Quota): number {
+  private domainCapacity({ burst }: Quota): number {
     const { failureDomains, slack } = this.division;
-    return (burst + slack * USED_SLACK) / failureDomains;
+    return (burst + slack * BUCKET_SLACK_FRACTION) / failureDomains;
   }
 
-  private nextReturn(pot: Pot, perMs: number, now: number): number {
-    const betweenMs = perMs > 0 ? 1 / perMs : LONGEST_RETRY_MS;
-    pot.lastReturn = Math.min(
-      now + LONGEST_RETRY_MS,
-      Math.max(now + LONGEST_DELAY_MS, pot.lastReturn + betweenMs),
+  private nextRetryAfterMs(bucket: TokenBucket, perMs: number, now: number): number {
+    const betweenMs = perMs > 0 ? 1 / perMs : MAX_RETRY_AFTER_MS;
+    bucket.lastRetryAt = Math.min(
+      now + MAX_RETRY_AFTER_MS,
+      Math.max(now + MAX_DELAY_MS, bucket.lastRetryAt + betweenMs),
     );
-    return pot.lastReturn - now;
+    return bucket.lastRetryAt - now;
   }
 }
 
-/** Part of the slack that pots may hold: the rest is for what is on its way between daemons. */
-const USED_SLACK = 1 / 2;
+/** Fraction of the slack by which buckets are enlarged; the rest covers tokens in transit between daemons. */
+const BUCKET_SLACK_FRACTION = 1 / 2;
--- a/packages/organisations/src/quotaQueue.ts
+++ b/packages/organisations/src/quotaQueue.ts
@@ -1,70 +1,69 @@
-/** Requests of one daemon that wait for room in their organisations' quotas, in the order in which they came. */
+/** Requests of one daemon that wait for tokens of their organisations' quotas, in order of arrival. */
 
-/** How a request may go on. */
+/** The quota's decision on a request. */
 export type Taken =
   | { readonly kind: 'taken'; readonly at: number }
-  /** The quota has no room. */
+  /** The quota is exhausted. */
   | { readonly kind: 'over'; readonly retryAfterMs: number }
-  /** Nobody could be asked in time. */
+  /** No coordinator responded in time. */
   | { readonly kind: 'unknown' };
 
 interface Waiter {
-  readonly settle: (taken: Taken) => void;
-  readonly since: number;
-  /** When it was last asked for. */
-  askedAt: number;
+  readonly settle: (decision: Taken) => void;
+  readonly enqueuedAt: number;
+  /** When tokens for it were last requested. */
+  requestedAt: number;
 }
 
 const NEVER = Number.NEGATIVE_INFINITY;
-/** Organisations in one question: a datagram has room for so many names of the usual length. */
-const MOST_ASKS = 25;
+/** Organisations per datagram: as many names of the usual length fit in. */
+const MAX_ORGANISATIONS = 25;
 
 /** The queues of all organisations of one shard. */
 export class QuotaQueue {
   private readonly waiting = new Map<string, Waiter[]>();
 
-  /** Whether nobody waits. */
   get isEmpty(): boolean {
     return this.waiting.size === 0;
   }
 
-  /** A request waits. */
-  enter(organisation: string, now: number): Promise<Taken> {
+  /** Queues a request until a decision about it is known. */
+  enqueue(organisation: string, now: number): Promise<Taken> {
     return new Promise(settle => {
       const queue = this.waiting.get(organisation) ?? [];
-      queue.push({ settle, since: now, askedAt: NEVER });
+      queue.push({ settle, enqueuedAt: now, requestedAt: NEVER });
       this.waiting.set(organisation, queue);
     });
   }
 
   /**
-   * How many have to be asked for, by organisation: those that were not since `before`. They count as asked for now. Of few organisations at a time: questions
-   * are short.
+   * Counts the waiting requests per organisation whose tokens were not requested after `before`, and marks them
+   * as requested now. The number of organisations is limited by the size of a datagram.
    */
-  toAsk(before: number, now: number): Map<string, number> {
-    const asks = new Map<string, number>();
+  takeUnrequested(before: number, now: number): Map<string, number> {
+    const counts = new Map<string, number>();
     for (const [organisation, queue] of this.waiting) {
-      if (asks.size === MOST_ASKS) break;
-      const unasked = queue.filter(({ askedAt }) => askedAt <= before);
-      for (const waiter of unasked) waiter.askedAt = now;
-      if (unasked.length > 0) asks.set(organisation, unasked.length);
+      if (counts.size === MAX_ORGANISATIONS) break;
+      const unrequested = queue.filter(({ requestedAt }) => requestedAt <= before);
+      for (const waiter of unrequested) waiter.requestedAt = now;
+      if (unrequested.length > 0) counts.set(organisation, unrequested.length);
     }
-    return asks;
+    return counts;
   }
 
-  /** Takes the first `count` of an organisation's out; gives what lets each go on. */
-  leave(organisation: string, count: number): ((taken: Taken) => void)[] {
+  /** Removes an organisation's first `count` requests and returns the callbacks that settle them. */
+  dequeue(organisation: string, count: number): ((decision: Taken) => void)[] {
     const queue = this.waiting.get(organisation) ?? [];
     const first = queue.splice(0, count);
     if (queue.length === 0) this.waiting.delete(organisation);
     return first.map(({ settle }) => settle);
   }
 
-  /** Those that have waited since before then go on without an answer. */
-  giveUp(before: number): void {
+  /** Settles requests queued before `before` as `unknown`. */
+  expire(before: number): void {
     for (const [organisation, queue] of [...this.waiting]) {
-      const late = queue.filter(({ since }) => since < before).length;
-      for (const settle of this.leave(organisation, late)) settle({ kind: 'unknown' });
+      const expired = queue.filter(({ enqueuedAt }) => enqueuedAt < before).length;
+      for (const settle of this.dequeue(organisation, expired)) settle({ kind: 'unknown' });
     }
   }
 }
--- a/packages/organisations/src/quotas.ts
+++ b/packages/organisations/src/quotas.ts
@@ -1,325 +1,344 @@
 /**
- * The quotas of the whole fleet as one daemon keeps them: for each request it takes room from whoever gives out its organisation's quota in this failure
- * domain, and lends its own share to them.
+ * Fleet-wide quotas as one daemon enforces them: it requests tokens from the coordinator of the organisation's
+ * shard in its failure domain, and leases its own share of the quota to that coordinator.
  */
 import { type Clock, type Random, type Timer } from '@cleatquay/clock';
 import { type QuotaAnswer, type QuotaGrant, type QuotaQuestion } from '@cleatquay/protocol';
 import { type Organisation, type Quota } from './organisation.js';
-import { Holders, type HoldersOptions } from './holders.js';
-import { QuotaHolder, type QuotaHolderOptions } from './quotaHolder.js';
+import { CoordinatorDirectory, type CoordinatorDirectoryOptions } from './holders.js';
+import { QuotaCoordinator, type QuotaCoordinatorOptions } from './quotaHolder.js';
 import { QuotaQueue, type Taken } from './quotaQueue.js';
-import { ShareLender } from './shareLender.js';
-import { LOAN_MS } from './shareLoans.js';
-import { SHARDS, shardOf } from './shards.js';
+import { ShareLessor } from './shareLender.js';
+import { LEASE_MS } from './shareLoans.js';
+import { SHARD_COUNT, shardOf } from './shards.js';
 
-/** Shares are lent again so often, ms: two questions in a row may be lost. */
-const RENEW_MS = 250;
-/** A question that got no answer is asked again after so long, ms: many round trips within a failure domain. */
-const ASK_AGAIN_MS = 50;
-/** An answer that comes later is not taken: what it grants would run in another window than it was counted in, ms. */
-const LATEST_ANSWER_MS = 200;
-/** A daemon that answered nothing for so long is taken for lost, ms. */
-const SILENT_AFTER_MS = 350;
-/** A request waits so long for room at most, ms: until the next daemon that gives out has the others' shares. */
-const PATIENCE_MS = 1100;
-/** What a request leaves that ran nowhere is for the next one, if there is one so soon, ms. */
-const RETURN_MS = 150;
-/** An organisation that has no room is not asked for again at once, ms. */
-const OVER_FOR_MS = 50;
-/** Other failure domains are asked for room so often, ms. */
-const TRANSFER_EVERY_MS = 100;
-const HIGHEST_FIRST_NUMBER = 2 ** 31;
+/** Interval of lease renewals: a lease survives two lost datagrams in a row. */
+const LEASE_RENEWAL_MS = 250;
+/**
+ * A request without a response is sent again after this long, which is many round trips within a failure
+ * domain.
+ */
+const RESEND_AFTER_MS = 50;
+/**
+ * Later responses are ignored: the granted requests would run in another window than the one they were counted
+ * in.
+ */
+const MAX_RESPONSE_AGE_MS = 200;
+/** A daemon that doesn't respond for this long is regarded as failed. */
+const RESPONSE_TIMEOUT_MS = 350;
+/** Longest wait for a decision: by then the next coordinator has the leases of the other daemons. */
+const MAX_WAIT_MS = 1100;
+/** Tokens of a request that was never run may be used by the organisation's next request within this time. */
+const REFUND_LIFETIME_MS = 150;
+/** An exhausted quota is not requested again for this long. */
+const EXHAUSTED_CACHE_MS = 50;
+/** Shortest interval between transfer requests to other failure domains, per organisation. */
+const TRANSFER_INTERVAL_MS = 100;
+const MAX_FIRST_NUMBER = 2 ** 31;
 
-/** What the quotas need of their daemon. */
+/** Dependencies of the quotas. */
 export interface QuotasOptions
-  extends HoldersOptions, Pick<QuotaHolderOptions, 'now' | 'epoch' | 'division'> {
+  extends CoordinatorDirectoryOptions, Pick<QuotaCoordinatorOptions, 'now' | 'epoch' | 'division'> {
   readonly clock: Clock;
   readonly random: Random;
-  /** Daemons among which the quotas of this failure domain are shared, gone ones included that may be cut off only; undefined while not known. */
+  /**
+   * Number of shares into which this failure domain's quotas are split, counting failed daemons that may only
+   * be partitioned; undefined while unknown.
+   */
   readonly sharers: () => number | undefined;
   readonly ask: (to: string, question: QuotaQuestion) => void;
   readonly answer: (to: string, answer: QuotaAnswer) => void;
 }
 
-interface Asked {
+interface PendingRequest {
   readonly to: string;
-  readonly at: number;
+  readonly sentAt: number;
   readonly shard: number;
-  /** Requests by organisation; of a transfer, with fractions. */
+  /** Requests by organisation; fractions of tokens for a transfer. */
   readonly requests: ReadonlyMap<string, number>;
   readonly isTransfer: boolean;
 }
 
 interface Shard {
   readonly queue: QuotaQueue;
-  readonly lender: ShareLender;
-  lastAsked: number;
+  readonly lessor: ShareLessor;
+  lastSentAt: number;
 }
 
-/** Takes room in quotas for the requests of one daemon. */
+/** Obtains tokens for the requests of one daemon. */
 export class Quotas implements Disposable {
-  readonly holder: QuotaHolder;
-  /** Requests that found room, that found none, and for which nobody could be asked. */
+  readonly coordinator: QuotaCoordinator;
+  /** Decisions by kind: granted, refused, and undecided because no coordinator responded. */
   readonly counts = { taken: 0, over: 0, unknown: 0 };
   private quotas: ReadonlyMap<string, Quota> = new Map();
   private organisations = new Set<string>();
   private readonly shards: readonly Shard[];
-  private readonly asked = new Map<number, Asked>();
-  private readonly holders: Holders;
-  private readonly overUntil = new Map<string, { readonly until: number; readonly retryAt: number }>();
-  private readonly returned = new Map<string, number[]>();
-  private readonly transferAt = new Map<string, number>();
-  private number: number;
-  private isFlushing = false;
+  private readonly pending = new Map<number, PendingRequest>();
+  private readonly directory: CoordinatorDirectory;
+  private readonly exhausted = new Map<string, { readonly until: number; readonly retryAt: number }>();
+  private readonly refunds = new Map<string, number[]>();
+  private readonly nextTransferAt = new Map<string, number>();
+  private lastNumber: number;
+  private isFlushScheduled = false;
   private timer: Timer | undefined;
-  private isTickingSlowly = false;
+  private isIdleTickScheduled = false;
   private isClosed = false;
 
   constructor(private readonly options: QuotasOptions) {
     const { clock, random } = options;
-    this.number = Math.floor(random() * HIGHEST_FIRST_NUMBER);
-    this.holders = new Holders(options);
-    this.holder = new QuotaHolder({
+    this.lastNumber = Math.floor(random() * MAX_FIRST_NUMBER);
+    this.directory = new CoordinatorDirectory(options);
+    this.coordinator = new QuotaCoordinator({
       ...options,
       quotaOf: name => this.quotas.get(name) ?? (this.organisations.has(name) ? 'none' : undefined),
-      isNear: daemon => this.holders.isNear(daemon),
+      isInOwnDomain: daemon => this.directory.isInOwnDomain(daemon),
     });
-    this.shards = Array.from({ length: SHARDS }, () => ({
+    this.shards = Array.from({ length: SHARD_COUNT }, () => ({
       queue: new QuotaQueue(),
-      lender: new ShareLender(clock.now()),
-      lastAsked: Number.NEGATIVE_INFINITY,
+      lessor: new ShareLessor(clock.now()),
+      lastSentAt: Number.NEGATIVE_INFINITY,
     }));
   }
 
-  /** Takes over the organisations of a configuration. */
+  /** Applies the organisations of a configuration. */
   adopt(organisations: readonly Organisation[]): void {
     this.organisations = new Set(organisations.map(({ name }) => name));
     this.quotas = new Map(
       organisations.flatMap(({ name, quota }) => (quota ? [[name, quota] as const] : [])),
     );
-    this.holder.keep(this.quotas);
-    if (this.quotas.size > 0) this.keepTicking();
+    this.coordinator.setQuotas(this.quotas);
+    if (this.quotas.size > 0) this.scheduleTick();
   }
 
-  /** Room for one request, at once where this daemon gives out itself. */
+  /** Decides on one request, synchronously if this daemon is the coordinator. */
   take(organisation: string, quota: Quota): Taken | Promise<Taken> {
     const now = this.options.clock.now();
-    if (this.takeReturned(organisation, now)) return this.counted({ kind: 'taken', at: now });
-    const over = this.overUntil.get(organisation);
-    if (over && now < over.until)
-      return this.counted({ kind: 'over', retryAfterMs: this.spread(over.retryAt - now) });
+    if (this.takeRefund(organisation, now)) return this.count({ kind: 'taken', at: now });
+    const exhausted = this.exhausted.get(organisation);
+    if (exhausted && now < exhausted.until)
+      return this.count({ kind: 'over', retryAfterMs: this.jitter(exhausted.retryAt - now) });
     const shard = shardOf(organisation);
-    const isHere = this.holders.near(shard, now) === this.options.self;
+    const isHere = this.directory.local(shard, now) === this.options.self;
     return (
-      (isHere ? this.takeHere(organisation, quota, now) : undefined) ?? this.wait(shard, organisation, now)
+      (isHere ? this.acquireLocally(organisation, quota, now) : undefined) ??
+      this.enqueue(shard, organisation, now)
     );
   }
 
-  private wait(shard: number, organisation: string, now: number): Promise<Taken> {
-    this.flushSoon();
-    this.tickSoon();
+  private enqueue(shard: number, organisation: string, now: number): Promise<Taken> {
+    this.scheduleFlush();
+    this.scheduleResendTick();
     return this.shardAt(shard)
-      .queue.enter(organisation, now)
-      .then(taken => this.counted(taken));
+      .queue.enqueue(organisation, now)
+      .then(decision => this.count(decision));
   }
 
-  /** A request for which room was taken then has run nowhere. */
+  /** Returns the token of a request that was never run. */
   giveBack(organisation: string, takenAt: number): void {
-    const until = takenAt + RETURN_MS;
+    const until = takenAt + REFUND_LIFETIME_MS;
     if (this.options.clock.now() >= until) return;
-    const known = this.returned.get(organisation);
-    if (known) known.push(until);
-    else this.returned.set(organisation, [until]);
+    const refunds = this.refunds.get(organisation);
+    if (refunds) refunds.push(until);
+    else this.refunds.set(organisation, [until]);
   }
 
-  /** Another daemon asks this one. */
+  /** Handles a quota request of another daemon. */
   heardQuestion(question: QuotaQuestion, from: string): void {
-    if (question.shard >= SHARDS) return;
-    this.options.answer(from, this.holder.answer(question, from));
+    if (question.shard >= SHARD_COUNT) return;
+    this.options.answer(from, this.coordinator.handleRequest(question, from));
     if (question.isTransfer) return;
     const now = this.options.clock.now();
     for (const { organisation } of question.asks) {
       const quota = this.quotas.get(organisation);
-      if (quota) this.balance(organisation, quota, now);
+      if (quota) this.requestTransfers(organisation, quota, now);
     }
   }
 
-  /** Another daemon answers. */
+  /** Handles a coordinator's response. */
   heardAnswer(answer: QuotaAnswer, from: string): void {
     const now = this.options.clock.now();
-    const asked = this.asked.get(answer.number);
-    this.asked.delete(answer.number);
-    if (asked?.to !== from || now - asked.at > LATEST_ANSWER_MS) return;
-    this.holders.heard(from, now);
+    const request = this.pending.get(answer.number);
+    this.pending.delete(answer.number);
+    if (request?.to !== from || now - request.sentAt > MAX_RESPONSE_AGE_MS) return;
+    this.directory.recordResponse(from, now);
     for (const grant of answer.grants) {
-      const requests = asked.requests.get(grant.organisation);
+      const requests = request.requests.get(grant.organisation);
       if (requests === undefined) continue;
-      if (asked.isTransfer) this.holder.receive(grant.organisation, Math.min(grant.requests, requests));
-      else this.settle(asked.shard, grant, requests, now);
+      if (request.isTransfer)
+        this.coordinator.transferIn(grant.organisation, Math.min(grant.requests, requests));
+      else this.applyGrant(request.shard, grant, requests, now);
     }
-    if (!asked.isTransfer && answer.offer) this.shards[asked.shard]?.lender.offered(from, answer.offer, now);
+    if (!request.isTransfer && answer.offer)
+      this.shards[request.shard]?.lessor.recordOffer(from, answer.offer, now);
   }
 
   [Symbol.dispose](): void {
     this.isClosed = true;
     this.timer?.[Symbol.dispose]();
-    for (const { queue } of this.shards) queue.giveUp(Number.POSITIVE_INFINITY);
+    for (const { queue } of this.shards) queue.expire(Number.POSITIVE_INFINITY);
   }
 
-  /** Those that are told in one moment don't come back in one. */
-  private spread(ms: number): number {
+  /** Randomised, so that requests refused together aren't retried together. */
+  private jitter(ms: number): number {
     return ms * (0.5 + this.options.random());
   }
 
-  private counted(taken: Taken): Taken {
-    this.counts[taken.kind]++;
-    return taken;
+  private count(decision: Taken): Taken {
+    this.counts[decision.kind]++;
+    return decision;
   }
 
-  private takeReturned(organisation: string, now: number): boolean {
-    const returned = this.returned.get(organisation);
-    if (!returned) return false;
-    const usable = returned.filter(until => until > now);
-    const isThere = usable.pop() !== undefined;
-    if (usable.length > 0) this.returned.set(organisation, usable);
-    else this.returned.delete(organisation);
-    return isThere;
+  private takeRefund(organisation: string, now: number): boolean {
+    const refunds = this.refunds.get(organisation);
+    if (!refunds) return false;
+    const usable = refunds.filter(until => until > now);
+    const hasRefund = usable.pop() !== undefined;
+    if (usable.length > 0) this.refunds.set(organisation, usable);
+    else this.refunds.delete(organisation);
+    return hasRefund;
   }
 
-  /** Undefined where this daemon can't say yet. */
-  private takeHere(organisation: string, quota: Quota, now: number): Taken | Promise<Taken> | undefined {
-    this.lendToSelf(shardOf(organisation), now);
-    const { requests, delayMs, retryAfterMs, unknown } = this.holder.ask(organisation, 1);
-    this.balance(organisation, quota, now);
+  /** Undefined if this daemon's share is still too small for a decision. */
+  private acquireLocally(
+    organisation: string,
+    quota: Quota,
+    now: number,
+  ): Taken | Promise<Taken> | undefined {
+    this.leaseToSelf(shardOf(organisation), now);
+    const { requests, delayMs, retryAfterMs, unknown } = this.coordinator.grant(organisation, 1);
+    this.requestTransfers(organisation, quota, now);
     if (requests === 0 && unknown) return undefined;
-    if (requests === 0) return this.counted({ kind: 'over', retryAfterMs: this.spread(retryAfterMs) });
-    const taken = this.counted({ kind: 'taken', at: now + delayMs });
-    return delayMs > 0 ? this.options.clock.sleep(delayMs).then(() => taken) : taken;
+    if (requests === 0) return this.count({ kind: 'over', retryAfterMs: this.jitter(retryAfterMs) });
+    const decision = this.count({ kind: 'taken', at: now + delayMs });
+    return delayMs > 0 ? this.options.clock.sleep(delayMs).then(() => decision) : decision;
   }
 
-  private settle(shard: number, grant: QuotaGrant, asked: number, now: number): void {
+  private applyGrant(shard: number, grant: QuotaGrant, requested: number, now: number): void {
     const { organisation, unknown, delayMs, retryAfterMs } = grant;
-    const granted = Math.min(asked, Math.floor(grant.requests));
-    this.letGo(shard, organisation, granted, Math.min(delayMs, LATEST_ANSWER_MS));
-    if (granted >= asked || unknown) return;
-    const refused = this.shards[shard]?.queue.leave(organisation, asked - granted) ?? [];
-    for (const refuse of refused) refuse({ kind: 'over', retryAfterMs: this.spread(retryAfterMs) });
-    this.overUntil.set(organisation, {
-      until: now + Math.min(OVER_FOR_MS, retryAfterMs),
+    const granted = Math.min(requested, Math.floor(grant.requests));
+    this.admitWaiting(shard, organisation, granted, Math.min(delayMs, MAX_RESPONSE_AGE_MS));
+    if (granted >= requested || unknown) return;
+    const refused = this.shards[shard]?.queue.dequeue(organisation, requested - granted) ?? [];
+    for (const refuse of refused) refuse({ kind: 'over', retryAfterMs: this.jitter(retryAfterMs) });
+    this.exhausted.set(organisation, {
+      until: now + Math.min(EXHAUSTED_CACHE_MS, retryAfterMs),
       retryAt: now + retryAfterMs,
     });
   }
 
-  private letGo(shard: number, organisation: string, granted: number, delayMs: number): void {
+  private admitWaiting(shard: number, organisation: string, granted: number, delayMs: number): void {
     const { clock } = this.options;
     const at = clock.now() + delayMs;
-    const leaving = this.shards[shard]?.queue.leave(organisation, granted) ?? [];
-    const go = () => leaving.forEach(settle => settle({ kind: 'taken', at }));
-    if (delayMs > 0) clock.after(delayMs, go);
-    else go();
-    // Asked for twice, as after an answer that was late.
-    for (let i = leaving.length; i < granted; i++) this.giveBack(organisation, at);
+    const admitted = this.shards[shard]?.queue.dequeue(organisation, granted) ?? [];
+    const admit = () => admitted.forEach(settle => settle({ kind: 'taken', at }));
+    if (delayMs > 0) clock.after(delayMs, admit);
+    else admit();
+    // Tokens were requested twice, since the first response was late.
+    for (let i = admitted.length; i < granted; i++) this.giveBack(organisation, at);
   }
 
-  /** Several requests of one turn are asked for in one question. */
-  private flushSoon(): void {
-    if (this.isFlushing) return;
-    this.isFlushing = true;
+  /** Batches the requests of one event loop iteration into one datagram. */
+  private scheduleFlush(): void {
+    if (this.isFlushScheduled) return;
+    this.isFlushScheduled = true;
     setImmediate(() => {
-      this.isFlushing = false;
+      this.isFlushScheduled = false;
       if (this.isClosed) return;
-      for (const shard of this.shards.keys()) this.askFor(shard, this.options.clock.now());
+      for (const shard of this.shards.keys()) this.sendRequests(shard, this.options.clock.now());
     });
   }
 
-  /** An idle daemon wakes up only to lend its share again. */
-  private keepTicking(): void {
+  /** An idle daemon wakes up only to renew its lease. */
+  private scheduleTick(): void {
     if (this.isClosed) return;
     const isIdle = this.shards.every(({ queue }) => queue.isEmpty);
-    this.timer ??= this.options.clock.after(isIdle ? RENEW_MS : ASK_AGAIN_MS, () => this.tick());
-    this.isTickingSlowly = isIdle;
+    this.timer ??= this.options.clock.after(isIdle ? LEASE_RENEWAL_MS : RESEND_AFTER_MS, () => this.tick());
+    this.isIdleTickScheduled = isIdle;
   }
 
-  private tickSoon(): void {
-    if (this.timer && !this.isTickingSlowly) return;
+  private scheduleResendTick(): void {
+    if (this.timer && !this.isIdleTickScheduled) return;
     this.timer?.[Symbol.dispose]();
-    this.timer = this.options.clock.after(ASK_AGAIN_MS, () => this.tick());
-    this.isTickingSlowly = false;
+    this.timer = this.options.clock.after(RESEND_AFTER_MS, () => this.tick());
+    this.isIdleTickScheduled = false;
   }
 
   private tick(): void {
     this.timer = undefined;
     const { clock } = this.options;
     const now = clock.now();
-    this.forgetOld(now);
-    for (const [shard, { queue, lastAsked }] of this.shards.entries()) {
-      queue.giveUp(now - PATIENCE_MS);
-      if (!queue.isEmpty || now - lastAsked >= RENEW_MS) this.askFor(shard, now);
+    this.removeExpired(now);
+    for (const [shard, { queue, lastSentAt }] of this.shards.entries()) {
+      queue.expire(now - MAX_WAIT_MS);
+      if (!queue.isEmpty || now - lastSentAt >= LEASE_RENEWAL_MS) this.sendRequests(shard, now);
     }
-    if (this.quotas.size > 0 || this.shards.some(({ queue }) => !queue.isEmpty)) this.keepTicking();
+    if (this.quotas.size > 0 || this.shards.some(({ queue }) => !queue.isEmpty)) this.scheduleTick();
   }
 
-  private forgetOld(now: number): void {
-    for (const [number, { to, at, isTransfer }] of this.asked) {
-      if (now - at < SILENT_AFTER_MS) continue;
-      this.asked.delete(number);
-      if (!isTransfer) this.holders.silent(to, at, now);
+  private removeExpired(now: number): void {
+    for (const [number, { to, sentAt, isTransfer }] of this.pending) {
+      if (now - sentAt < RESPONSE_TIMEOUT_MS) continue;
+      this.pending.delete(number);
+      if (!isTransfer) this.directory.recordTimeout(to, sentAt, now);
     }
-    for (const [name, { until }] of this.overUntil) if (until <= now) this.overUntil.delete(name);
+    for (const [name, { until }] of this.exhausted) if (until <= now) this.exhausted.delete(name);
   }
 
-  /** Asks for all that wait and were not asked for lately, and renews the loan of this daemon's share. */
-  private askFor(index: number, now: number): void {
+  /**
+   * Requests tokens for queued requests that have none pending, and renews the lease of this daemon's share.
+   */
+  private sendRequests(index: number, now: number): void {
     const shard = this.shardAt(index);
-    const to = this.holders.near(index, now);
-    if (to === this.options.self) return this.serveSelf(index, now);
-    const requests = shard.queue.toAsk(now - ASK_AGAIN_MS, now);
-    if (requests.size === 0 && now - shard.lastAsked < RENEW_MS) return;
-    shard.lastAsked = now;
+    const to = this.directory.local(index, now);
+    if (to === this.options.self) return this.grantToSelf(index, now);
+    const requests = shard.queue.takeUnrequested(now - RESEND_AFTER_MS, now);
+    if (requests.size === 0 && now - shard.lastSentAt < LEASE_RENEWAL_MS) return;
+    shard.lastSentAt = now;
     const sharers = this.options.sharers();
-    const loan = sharers === undefined ? undefined : shard.lender.loanTo(to, 1 / sharers, now);
-    this.send({ to, at: now, shard: index, requests, isTransfer: false }, loan);
+    const loan = sharers === undefined ? undefined : shard.lessor.leaseTo(to, 1 / sharers, now);
+    this.send({ to, sentAt: now, shard: index, requests, isTransfer: false }, loan);
   }
 
-  private serveSelf(index: number, now: number): void {
+  private grantToSelf(index: number, now: number): void {
     const shard = this.shardAt(index);
-    shard.lastAsked = now;
-    this.lendToSelf(index, now);
-    for (const [organisation, count] of shard.queue.toAsk(now, now))
-      this.settle(index, this.holder.ask(organisation, count), count, now);
+    shard.lastSentAt = now;
+    this.leaseToSelf(index, now);
+    for (const [organisation, count] of shard.queue.takeUnrequested(now, now))
+      this.applyGrant(index, this.coordinator.grant(organisation, count), count, now);
   }
 
-  private lendToSelf(index: number, now: number): void {
+  private leaseToSelf(index: number, now: number): void {
     const { self, sharers } = this.options;
     const count = sharers();
-    if (count === undefined || !this.shardAt(index).lender.lend(self, now, now)) return;
-    this.holder.lent(index, self, 1 / count, this.options.now() + LOAN_MS);
+    if (count === undefined || !this.shardAt(index).lessor.lease(self, now, now)) return;
+    this.coordinator.acceptLease(index, self, 1 / count, this.options.now() + LEASE_MS);
   }
 
-  private send(asked: Asked, loan: QuotaQuestion['loan']): void {
-    const number = (this.number = (this.number + 1) % 2 ** 32);
-    this.asked.set(number, asked);
-    const { shard, requests, isTransfer } = asked;
+  private send(request: PendingRequest, loan: QuotaQuestion['loan']): void {
+    const number = (this.lastNumber = (this.lastNumber + 1) % 2 ** 32);
+    this.pending.set(number, request);
+    const { shard, requests, isTransfer } = request;
     const asks = [...requests].map(([organisation, count]) => ({ organisation, requests: count }));
-    this.options.ask(asked.to, { number, shard, asks, loan, isTransfer });
+    this.options.ask(request.to, { number, shard, asks, loan, isTransfer });
   }
 
-  /** Has other failure domains fill up a pot that runs low here, before it is empty. */
-  private balance(organisation: string, quota: Quota, now: number): void {
-    if (now < (this.transferAt.get(organisation) ?? 0)) return;
-    const lack = this.holder.lack(organisation, quota);
-    if (lack <= 0) return;
-    this.transferAt.set(organisation, now + TRANSFER_EVERY_MS);
+  /** Requests tokens from other failure domains when a bucket runs low, before it is empty. */
+  private requestTransfers(organisation: string, quota: Quota, now: number): void {
+    if (now < (this.nextTransferAt.get(organisation) ?? 0)) return;
+    const deficit = this.coordinator.deficit(organisation, quota);
+    if (deficit <= 0) return;
+    this.nextTransferAt.set(organisation, now + TRANSFER_INTERVAL_MS);
     const shard = shardOf(organisation);
-    const others = this.holders.far(shard);
-    // From each a part: what all together hand over beyond what the pot holds would be lost.
-    const requests = new Map([[organisation, lack / others.length]]);
-    for (const to of others) this.send({ to, at: now, shard, requests, isTransfer: true }, undefined);
+    const coordinators = this.directory.remote(shard);
+    // Asks each domain for an equal part, since tokens beyond the bucket's capacity would be lost.
+    const requests = new Map([[organisation, deficit / coordinators.length]]);
+    for (const to of coordinators)
+      this.send({ to, sentAt: now, shard, requests, isTransfer: true }, undefined);
   }
 
   private shardAt(index: number): Shard {
     const shard = this.shards[index];
-    if (!shard) throw new Error('No such shard.');
+    if (!shard) throw new Error('Shard index is out of range.');
     return shard;
   }
 }
--- a/packages/organisations/src/ranks.ts
+++ b/packages/organisations/src/ranks.ts
@@ -1,50 +1,58 @@
 /**
- * The order of importance of requests: by the rank of their organisation, or where it has none, of their route; among equals by the rank of the
- * route. Where organisations have ranks, ranks that nothing has take no place, so that levels move through few classes.
+ * Priority classes of requests: ordered by the rank of the organisation (of the route if the organisation has none),
+ * then by the rank of the route. Where organisations have ranks, only combinations that can occur get a class, so that
+ * admission levels step through few classes; otherwise a request's class is the rank of its route.
  */
-/** What a request's place depends on. */
-interface Pair {
-  readonly first: number;
+
+/** The ranks that determine a request's class. */
+interface RankPair {
+  readonly primary: number;
   readonly route: number;
 }
 
-/** The ranks that a configuration has. */
+/** The ranks in a configuration. */
 export interface DeclaredRanks {
   readonly routes: readonly number[];
-  /** Of the organisations that have one. */
+  /** Of the organisations that declare one. */
   readonly organisations: readonly number[];
 }
 
-/** The places of all pairs of ranks that a configuration has. */
+/** The classes of all pairs of ranks in a configuration. */
 export class Ranks {
-  private readonly places = new Map<string, number>();
-  /** Number of places that requests may have; at least 1. */
+  private readonly classes = new Map<string, number>();
+  /** Number of classes; at least 1. */
   readonly count: number;
 
   constructor({ routes, organisations }: DeclaredRanks) {
     const routeRanks = distinct(routes);
-    const ownerRanks = distinct(organisations);
-    if (ownerRanks.length > 0) {
-      for (const pair of pairsOf(routeRanks, ownerRanks)) this.places.set(keyOf(pair), this.places.size);
+    const organisationRanks = distinct(organisations);
+    if (organisationRanks.length > 0) {
+      for (const pair of pairsOf(routeRanks, organisationRanks))
+        this.classes.set(keyOf(pair), this.classes.size);
     }
     const highest = (routeRanks.at(-1) ?? 0) + 1;
-    this.count = this.places.size > 0 ? this.places.size : highest;
+    this.count = this.classes.size > 0 ? this.classes.size : highest;
   }
 
-  /** The place of a request, 0 for the most important; `owner` is undefined where only the route tells. */
-  of(route: number, owner: number | undefined): number {
-    return this.places.get(keyOf({ first: owner ?? route, route })) ?? route;
+  /**
+   * The class of a request, 0 for the highest priority; without `organisationRank`, only the route's rank
+   * counts.
+   */
+  of(route: number, organisationRank: number | undefined): number {
+    return this.classes.get(keyOf({ primary: organisationRank ?? route, route })) ?? route;
   }
 }
 
-function pairsOf(routeRanks: readonly number[], ownerRanks: readonly number[]): Pair[] {
-  const pairs = routeRanks.flatMap(route => [route, ...ownerRanks].map(first => ({ first, route })));
+function pairsOf(routeRanks: readonly number[], organisationRanks: readonly number[]): RankPair[] {
+  const pairs = routeRanks.flatMap(route =>
+    [route, ...organisationRanks].map(primary => ({ primary, route })),
+  );
   const unique = [...new Map(pairs.map(pair => [keyOf(pair), pair])).values()];
-  return unique.sort((a, b) => a.first - b.first || a.route - b.route);
+  return unique.sort((a, b) => a.primary - b.primary || a.route - b.route);
 }
 
-function keyOf({ first, route }: Pair): string {
-  return `${String(first)} ${String(route)}`;
+function keyOf({ primary, route }: RankPair): string {
+  return `${String(primary)} ${String(route)}`;
 }
 
 function distinct(numbers: readonly number[]): number[] {
--- a/packages/organisations/src/shards.ts
+++ b/packages/organisations/src/shards.ts
@@ -1,16 +1,19 @@
-/** Which daemon of a failure domain gives out an organisation's quota: known to all by hash, so that nobody has to be elected. */
+/** Selects the quota coordinators of a failure domain by rendezvous hashing, so that no election is needed. */
 import { crc32 } from 'node:zlib';
 
-/** Parts into which organisations fall: each daemon lends its share once for each. */
-export const SHARDS = 2;
+/** Organisations are hashed into shards; each daemon leases its share once per shard. */
+export const SHARD_COUNT = 2;
 
 /** The shard of an organisation. */
 export function shardOf(organisation: string): number {
-  return crc32(organisation) % SHARDS;
+  return crc32(organisation) % SHARD_COUNT;
 }
 
-/** The daemon, of these addresses, that gives out a shard; undefined of none. Moves little when daemons come and go. */
-export function holderOf(shard: number, addresses: Iterable<string>): string | undefined {
+/**
+ * The address that coordinates a shard, undefined if there are no addresses. Few shards move when daemons join
+ * or leave.
+ */
+export function coordinatorOf(shard: number, addresses: Iterable<string>): string | undefined {
   let best: string | undefined;
   let lowest = Number.POSITIVE_INFINITY;
   for (const address of addresses) {
--- a/packages/organisations/src/shareLender.ts
+++ b/packages/organisations/src/shareLender.ts
@@ -1,48 +1,51 @@
-/** Lends this daemon's share of its failure domain's quotas to one daemon at a time. */
+/** Leases this daemon's share of its failure domain's quotas to one coordinator at a time. */
 import { type ShareLoan } from '@cleatquay/protocol';
-import { LOAN_MS } from './shareLoans.js';
+import { LEASE_MS } from './shareLoans.js';
 
-/** A lender's clock may go faster than the borrower's by so much. */
+/** Tolerated ratio of the lessor's clock rate to the coordinator's. */
 const CLOCK_MARGIN = 1.04;
 
 interface Offer {
   readonly epoch: number;
   readonly until: number;
-  /** By this daemon's clock, ms: the borrower's end comes no later after it than a loan is long. */
-  readonly heardAt: number;
+  /** Local receive time, ms: the offered lease ends at most one lease duration after it. */
+  readonly receivedAt: number;
 }
 
 /** The share of one shard. */
-export class ShareLender {
+export class ShareLessor {
   private readonly offers = new Map<string, Offer>();
-  private lentTo: string | undefined;
-  private lentUntil: number;
+  private leasedTo: string | undefined;
+  private leasedUntil: number;
 
-  /** What a former process of this daemon lent is in use for a while yet. */
+  /** A lease that a previous process of this daemon granted may still be in use. */
   constructor(startedAt: number) {
-    this.lentUntil = startedAt + LOAN_MS * CLOCK_MARGIN;
+    this.leasedUntil = startedAt + LEASE_MS * CLOCK_MARGIN;
   }
 
-  /** A daemon offers to give out with this one's share. */
-  offered(borrower: string, { epoch, until }: ShareLoan, now: number): void {
-    this.offers.set(borrower, { epoch, until, heardAt: now });
+  /** Records that a daemon offers to be coordinator for this daemon's share. */
+  recordOffer(coordinator: string, { epoch, until }: ShareLoan, now: number): void {
+    this.offers.set(coordinator, { epoch, until, receivedAt: now });
   }
 
-  /** The loan to go with a question to the daemon; undefined while the share is with another, or nothing was offered. */
-  loanTo(borrower: string, share: number, now: number): ShareLoan | undefined {
-    const offer = this.offers.get(borrower);
-    if (!offer || now - offer.heardAt >= LOAN_MS || !this.lend(borrower, offer.heardAt, now))
+  /** The lease to send with a request; undefined while another daemon holds it, or without a recent offer. */
+  leaseTo(coordinator: string, share: number, now: number): ShareLoan | undefined {
+    const offer = this.offers.get(coordinator);
+    if (!offer || now - offer.receivedAt >= LEASE_MS || !this.lease(coordinator, offer.receivedAt, now))
       return undefined;
     return { epoch: offer.epoch, until: offer.until, share };
   }
 
-  /** Whether the share is with the daemon until a loan's length after `from`; it is not if another has it still. */
-  lend(borrower: string, from: number, now: number): boolean {
-    if (this.lentTo !== borrower && now < this.lentUntil) return false;
-    if (this.lentTo !== borrower)
-      this.offers.forEach((_, other) => other !== borrower && this.offers.delete(other));
-    this.lentTo = borrower;
-    this.lentUntil = Math.max(this.lentUntil, from + LOAN_MS * CLOCK_MARGIN);
+  /**
+   * Extends the coordinator's lease to one lease duration after `from`; returns false while another daemon's
+   * lease is valid.
+   */
+  lease(coordinator: string, from: number, now: number): boolean {
+    if (this.leasedTo !== coordinator && now < this.leasedUntil) return false;
+    if (this.leasedTo !== coordinator)
+      this.offers.forEach((_, other) => other !== coordinator && this.offers.delete(other));
+    this.leasedTo = coordinator;
+    this.leasedUntil = Math.max(this.leasedUntil, from + LEASE_MS * CLOCK_MARGIN);
     return true;
   }
 }
--- a/packages/organisations/src/shareLoans.ts
+++ b/packages/organisations/src/shareLoans.ts
@@ -1,66 +1,69 @@
 /**
- * Which part of its failure domain's quotas a daemon may give out. Each daemon has an equal share, and lends it for a moment to the one that gives out for
- * all of them. A share is used in one place at a time, so that however many daemons take themselves for the one that gives out, and
- * whoever is cut off from whom, the parts never add up to more than the whole.
+ * The part of its failure domain's quotas that a daemon may grant. Each daemon has an equal share, and leases
+ * it for a short time to the coordinator. A share is leased to one daemon at a time, so that the parts never
+ * add up to more than the whole, however many daemons regard themselves as coordinator during a partition.
  */
 
-/** How long a share is lent, ms. When the daemon that gives out is lost, the next one has the shares so much later. */
-export const LOAN_MS = 800;
+/** Duration of a lease. After a coordinator fails, the next one gets the leases this much later. */
+export const LEASE_MS = 800;
 
-interface Loan {
+interface Lease {
   readonly share: number;
-  /** By the clock of the borrower, ms. */
+  /** Expiry by the local clock, ms. */
   readonly until: number;
-  /** Up to where it is in the sum. */
-  countedTo: number;
+  /** Time up to which the lease is included in `accruedMs`. */
+  accruedTo: number;
 }
 
-/** Shares that this daemon may use, by their lenders. */
-export class ShareLoans {
-  private readonly loans = new Map<string, Loan>();
-  private sum = 0;
+/** Shares that are leased to this daemon, by lessor. */
+export class ShareLeases {
+  private readonly leases = new Map<string, Lease>();
+  private accruedMs = 0;
 
-  /** `onDrop` is told that less may be given out than before, and how much. */
-  constructor(private readonly onDrop: (current: number) => void) {}
+  /** `onDecrease` receives the new total whenever it has decreased. */
+  constructor(private readonly onDecrease: (current: number) => void) {}
 
-  /** A loan, or a longer one in place of the lender's last. One that lasts longer than it can have been offered is cut. */
-  take(lender: string, share: number, until: number, now: number): void {
-    this.count(now);
+  /**
+   * Adds a lease or replaces the lessor's previous one. Its end is limited to one lease duration from now, the
+   * most that can have been offered.
+   */
+  add(lessor: string, share: number, until: number, now: number): void {
+    this.accrue(now);
     if (!(share > 0) || until <= now) return;
-    const before = this.loans.get(lender)?.share ?? 0;
-    const bounded = Math.min(until, now + LOAN_MS);
-    this.loans.set(lender, { share: Math.min(1, share), until: bounded, countedTo: now });
-    if (share < before) this.onDrop(this.shares());
+    const previousShare = this.leases.get(lessor)?.share ?? 0;
+    const boundedUntil = Math.min(until, now + LEASE_MS);
+    this.leases.set(lessor, { share: Math.min(1, share), until: boundedUntil, accruedTo: now });
+    if (share < previousShare) this.onDecrease(this.totalShare());
   }
 
-  /** Part of the quotas that may be given out now, 0 to 1. */
-  current(now: number): number {
-    this.count(now);
-    return this.shares();
+  /** Share of the quotas that may be granted now, 0 to 1. */
+  currentShare(now: number): number {
+    this.accrue(now);
+    return this.totalShare();
   }
 
-  /** Time for which the whole could have been given out since the start, ms. */
-  wholeMs(now: number): number {
-    this.count(now);
-    return this.sum;
+  /** Integral of the total share over time since the start, ms. */
+  fullShareMs(now: number): number {
+    this.accrue(now);
+    return this.accruedMs;
   }
 
-  private shares(): number {
-    let shares = 0;
-    for (const { share } of this.loans.values()) shares += share;
-    return Math.min(1, shares);
+  private totalShare(): number {
+    let total = 0;
+    for (const { share } of this.leases.values()) total += share;
+    return Math.min(1, total);
   }
 
-  private count(now: number): void {
-    let hasDropped = false;
-    for (const [lender, loan] of this.loans) {
-      const end = Math.min(now, loan.until);
-      if (end > loan.countedTo) this.sum += loan.share * (end - loan.countedTo);
-      loan.countedTo = Math.max(loan.countedTo, end);
-      if (loan.until > now) continue;
-      this.loans.delete(lender);
-      hasDropped = true;
+  private accrue(now: number): void {
+    let hasExpired = false;
+    for (const [lessor, lease] of this.leases) {
+      const end = Math.min(now, lease.until);
+      if (end > lease.accruedTo) this.accruedMs += lease.share * (end - lease.accruedTo);
+      lease.accruedTo = Math.max(lease.accruedTo, end);
+      if (lease.until > now) continue;
+      this.leases.delete(lessor);
+      hasExpired = true;
     }
-    if (hasDropped) this.onDrop(this.shares());
+    if (hasExpired) this.onDecrease(this.totalShare());
   }
 }
--- a/packages/quarantine/src/evidence.ts
+++ b/packages/quarantine/src/evidence.ts
@@ -5,60 +5,60 @@
 import { type Clock } from '@cleatquay/clock';
 
 /** Ends that are kept in mind: more than a fleet has while it takes notice of a request; the oldest makes room. */
-const MOST_ENDS = 300;
+const MAX_CRASHES = 300;
 /** How long an end is kept in mind, ms. */
-const KEPT_MS = 3_600_000;
+const RETENTION_MS = 3_600_000;
 
-interface End {
+interface CrashRecord {
   /** Clock time at which it was learned of, ms. */
-  readonly at: number;
+  readonly learnedAt: number;
   /** Fingerprints of requests that ran there, less those that are cleared. */
   readonly suspects: Set<string>;
   /** Fingerprints of requests that it did not end under, whatever is said later. */
   readonly cleared: Set<string>;
   /** The request that it ended under, once that is known. */
-  cause: string | undefined;
+  culprit: string | undefined;
 }
 
 /** A start that has ended, and the requests that it may have ended under. */
-export interface KnownEnd {
+export interface Crash {
   readonly start: string;
   readonly fingerprints: readonly string[];
 }
 
 /** Ends of upstreams, and the requests that they may be due to. */
-export class Evidence {
-  private readonly ends = new Map<string, End>();
-  private readonly startsOf = new Map<string, Set<string>>();
+export class CrashHistory {
+  private readonly records = new Map<string, CrashRecord>();
+  private readonly startsByRequest = new Map<string, Set<string>>();
 
   constructor(private readonly clock: Clock) {}
 
   /** Requests that some end may be due to. */
-  get suspects(): number {
-    return this.startsOf.size;
+  get suspectCount(): number {
+    return this.startsByRequest.size;
   }
 
   /** Ends that are kept in mind. */
   get size(): number {
-    return this.ends.size;
+    return this.records.size;
   }
 
   /** An upstream ended while these ran there. Says whether that was news. */
   add(start: string, fingerprints: readonly string[]): boolean {
-    this.forgetOld();
-    const isKnown = this.ends.has(start);
-    const end = this.endOf(start);
-    const news = fingerprints.filter(fingerprint => isNews(end, fingerprint));
-    for (const fingerprint of news) this.suspect(start, end, fingerprint);
+    this.removeExpired();
+    const isKnown = this.records.has(start);
+    const end = this.recordOf(start);
+    const news = fingerprints.filter(fingerprint => isNewSuspect(end, fingerprint));
+    for (const fingerprint of news) this.addSuspect(start, end, fingerprint);
     return !isKnown || news.length > 0;
   }
 
   /** A request ended well, so that these starts did not end under it. Says whether that was news. */
-  clearOf(fingerprint: string, starts: readonly string[]): boolean {
-    const news = starts.filter(start => !this.endOf(start).cleared.has(fingerprint));
+  clear(fingerprint: string, starts: readonly string[]): boolean {
+    const news = starts.filter(start => !this.recordOf(start).cleared.has(fingerprint));
     for (const start of news) {
-      this.endOf(start).cleared.add(fingerprint);
-      this.unlink(start, fingerprint);
+      this.recordOf(start).cleared.add(fingerprint);
+      this.removeSuspect(start, fingerprint);
     }
     return news.length > 0;
   }
@@ -66,71 +66,76 @@
   /** The request that these starts ended under is known: all others that ran there are cleared of it. */
   attribute(fingerprint: string, starts: readonly string[]): void {
     for (const start of starts) {
-      const end = this.endOf(start);
-      end.cause = fingerprint;
-      for (const other of [...end.suspects]) if (other !== fingerprint) this.unlink(start, other);
+      const end = this.recordOf(start);
+      end.culprit = fingerprint;
+      for (const other of [...end.suspects]) if (other !== fingerprint) this.removeSuspect(start, other);
     }
   }
 
   /** Starts that ended while the request ran there, and that it is not cleared from. */
-  startsUnder(fingerprint: string): string[] {
-    return [...(this.startsOf.get(fingerprint) ?? [])];
+  startsCrashedUnder(fingerprint: string): string[] {
+    return [...(this.startsByRequest.get(fingerprint) ?? [])];
   }
 
   /** Clock time at which the latest of those ends was learned of, ms. */
-  lastEndUnder(fingerprint: string): number {
-    return Math.max(...this.startsUnder(fingerprint).map(start => this.ends.get(start)?.at ?? 0));
+  lastCrashUnder(fingerprint: string): number {
+    return Math.max(
+      ...this.startsCrashedUnder(fingerprint).map(start => this.records.get(start)?.learnedAt ?? 0),
+    );
   }
 
   /** Requests under which so many starts ended or more. */
-  under(ends: number): string[] {
-    return [...this.startsOf].filter(([, starts]) => starts.size >= ends).map(([fingerprint]) => fingerprint);
+  withCrashes(ends: number): string[] {
+    return [...this.startsByRequest]
+      .filter(([, starts]) => starts.size >= ends)
+      .map(([fingerprint]) => fingerprint);
   }
 
   /** An end as it is known. */
-  get(start: string): KnownEnd | undefined {
-    const end = this.ends.get(start);
+  get(start: string): Crash | undefined {
+    const end = this.records.get(start);
     return end && { start, fingerprints: [...end.suspects] };
   }
 
-  private endOf(start: string): End {
-    let end = this.ends.get(start);
+  private recordOf(start: string): CrashRecord {
+    let end = this.records.get(start);
     if (end) return end;
-    end = { at: this.clock.now(), suspects: new Set(), cleared: new Set(), cause: undefined };
-    this.ends.set(start, end);
-    const [oldest] = this.ends.keys();
-    if (this.ends.size > MOST_ENDS && oldest !== undefined) this.forget(oldest);
+    end = { learnedAt: this.clock.now(), suspects: new Set(), cleared: new Set(), culprit: undefined };
+    this.records.set(start, end);
+    const [oldest] = this.records.keys();
+    if (this.records.size > MAX_CRASHES && oldest !== undefined) this.remove(oldest);
     return end;
   }
 
-  private suspect(start: string, end: End, fingerprint: string): void {
+  private addSuspect(start: string, end: CrashRecord, fingerprint: string): void {
     end.suspects.add(fingerprint);
-    const starts = this.startsOf.get(fingerprint) ?? new Set();
-    this.startsOf.set(fingerprint, starts.add(start));
+    const starts = this.startsByRequest.get(fingerprint) ?? new Set();
+    this.startsByRequest.set(fingerprint, starts.add(start));
   }
 
-  private unlink(start: string, fingerprint: string): void {
-    this.ends.get(start)?.suspects.delete(fingerprint);
-    const starts = this.startsOf.get(fingerprint);
+  private removeSuspect(start: string, fingerprint: string): void {
+    this.records.get(start)?.suspects.delete(fingerprint);
+    const starts = this.startsByRequest.get(fingerprint);
     starts?.delete(start);
-    if (starts?.size === 0) this.startsOf.delete(fingerprint);
+    if (starts?.size === 0) this.startsByRequest.delete(fingerprint);
   }
 
-  private forgetOld(): void {
-    const oldest = this.clock.now() - KEPT_MS;
-    for (const [start, { at }] of this.ends) {
+  private removeExpired(): void {
+    const oldest = this.clock.now() - RETENTION_MS;
+    for (const [start, { learnedAt: at }] of this.records) {
       if (at >= oldest) return;
-      this.forget(start);
+      this.remove(start);
     }
   }
 
-  private forget(start: string): void {
-    for (const fingerprint of [...(this.ends.get(start)?.suspects ?? [])]) this.unlink(start, fingerprint);
-    this.ends.delete(start);
+  private remove(start: string): void {
+    for (const fingerprint of [...(this.records.get(start)?.suspects ?? [])])
+      this.removeSuspect(start, fingerprint);
+    this.records.delete(start);
   }
 }
 
-function isNews({ suspects, cleared, cause }: End, fingerprint: string): boolean {
+function isNewSuspect({ suspects, cleared, culprit: cause }: CrashRecord, fingerprint: string): boolean {
   if (cause !== undefined && cause !== fingerprint) return false;
   return !suspects.has(fingerprint) && !cleared.has(fingerprint);
 }
--- a/packages/quarantine/src/findings.ts
+++ b/packages/quarantine/src/findings.ts
@@ -1,14 +1,14 @@
 /** What daemons tell each other of requests under which upstreams end, between messages and what they mean. */
 import { type Finding, type FindingKind } from '@cleatquay/protocol';
 import { FINGERPRINT_DIGITS } from './fingerprint.js';
-import { type Verdict, isHeld } from './verdicts.js';
+import { type Verdict, isQuarantined } from './verdicts.js';
 
 const FINGERPRINT_BYTES = FINGERPRINT_DIGITS / 2;
 /** Starts of one finding, at most: it has to fit into a datagram. */
-const MOST_STARTS = 8;
-const LONGEST_START = 64;
+const MAX_STARTS = 8;
+const MAX_START_CHARS = 64;
 /** Characters of what a request asks, as it is told. */
-export const LONGEST_ASKS = 100;
+export const MAX_ASKS_CHARS = 100;
 
 /** A finding about some requests and starts. */
 export function findingOf(
@@ -21,25 +21,25 @@
   const { revision = 0, asks = '' } = more;
   return {
     kind,
-    starts: starts.slice(0, MOST_STARTS),
+    starts: starts.slice(0, MAX_STARTS),
     fingerprints: bytes,
     revision,
-    asks: asks.slice(0, LONGEST_ASKS),
+    asks: asks.slice(0, MAX_ASKS_CHARS),
   };
 }
 
 /** What clears a request of starts: as many findings as these take. */
-export function findingsOfClearance(fingerprint: string, starts: readonly string[]): Finding[] {
-  const count = Math.ceil(starts.length / MOST_STARTS);
+export function clearanceFindings(fingerprint: string, starts: readonly string[]): Finding[] {
+  const count = Math.ceil(starts.length / MAX_STARTS);
   return Array.from({ length: count }, (_, i) =>
-    findingOf('ENDED_WELL', starts.slice(i * MOST_STARTS, (i + 1) * MOST_STARTS), [fingerprint]),
+    findingOf('ENDED_WELL', starts.slice(i * MAX_STARTS, (i + 1) * MAX_STARTS), [fingerprint]),
   );
 }
 
 /** A verdict as it is told. */
 export function findingOfVerdict(verdict: Verdict): Finding {
   const { starts, fingerprint, revision, asks } = verdict;
-  return findingOf(isHeld(verdict) ? 'HELD' : 'RELEASED', starts, [fingerprint], { revision, asks });
+  return findingOf(isQuarantined(verdict) ? 'HELD' : 'RELEASED', starts, [fingerprint], { revision, asks });
 }
 
 /** The fingerprints that a finding is about. */
@@ -52,8 +52,8 @@
 }
 
 /** Whether a finding from a datagram can be taken. */
-export function isUsableFinding({ starts, fingerprints, asks }: Finding): boolean {
+export function isValidFinding({ starts, fingerprints, asks }: Finding): boolean {
   const isWhole = fingerprints.length > 0 && fingerprints.length % FINGERPRINT_BYTES === 0;
-  const isShort = starts.length <= MOST_STARTS && asks.length <= LONGEST_ASKS;
-  return isWhole && isShort && starts.every(start => start.length <= LONGEST_START);
+  const isShort = starts.length <= MAX_STARTS && asks.length <= MAX_ASKS_CHARS;
+  return isWhole && isShort && starts.every(start => start.length <= MAX_START_CHARS);
 }
--- a/packages/quarantine/src/fingerprint.ts
+++ b/packages/quarantine/src/fingerprint.ts
@@ -6,7 +6,7 @@
 export const FINGERPRINT_DIGITS = 16;
 
 /** Headers, in lower case, that differ between two attempts of one request, or with the way that it took. */
-const OF_ONE_ATTEMPT: ReadonlySet<string> = new Set([
+const PER_ATTEMPT_HEADERS: ReadonlySet<string> = new Set([
   'b3',
   'baggage',
   'content-length',
@@ -29,27 +29,27 @@
 ]);
 
 /** Bytes of a body that name it: of a longer one, daemons have only a stream. */
-const NAMED_BYTES = 65_536;
+const MAX_HASHED_BODY_BYTES = 65_536;
 
 /** What of a request says what it asks, and for whom. */
-export type AskedHead = Pick<RequestHead, 'method' | 'path' | 'headers'>;
+export type FingerprintHead = Pick<RequestHead, 'method' | 'path' | 'headers'>;
 
 /** The fingerprint of a request: its method, path, query and body, and the headers that say for whom it is. Of a long body its beginning does. */
-export function fingerprintOf({ method, path, headers }: AskedHead, body: Uint8Array): string {
+export function fingerprintOf({ method, path, headers }: FingerprintHead, body: Uint8Array): string {
   return createHash('sha256')
-    .update(`${method} ${path}\n${lastingHeaders(headers)}\n`)
-    .update(body.subarray(0, NAMED_BYTES))
+    .update(`${method} ${path}\n${stableHeaders(headers)}\n`)
+    .update(body.subarray(0, MAX_HASHED_BODY_BYTES))
     .digest('hex')
     .slice(0, FINGERPRINT_DIGITS);
 }
 
 /** Those headers of a block of names and values by turns that stay the same when the request is asked again. */
-function lastingHeaders(block: string): string {
+function stableHeaders(block: string): string {
   const lines = block.split('\n');
   let lasting = '';
   for (let i = 0; i + 1 < lines.length; i += 2) {
     const name = (lines[i] ?? '').toLowerCase();
-    if (!OF_ONE_ATTEMPT.has(name)) lasting += `${name}:${lines[i + 1] ?? ''}\n`;
+    if (!PER_ATTEMPT_HEADERS.has(name)) lasting += `${name}:${lines[i + 1] ?? ''}\n`;
   }
   return lasting;
 }
--- a/packages/quarantine/src/isolation.ts
+++ b/packages/quarantine/src/isolation.ts
@@ -5,67 +5,67 @@
 import { type CancelSignal } from '@cleatquay/clock';
 
 /** Suspects that run side by side at an upstream: few enough for the next end to tell most of them apart, and enough for dozens to get through. */
-const PLACES = 4;
+const PERMITS_PER_INSTANCE = 4;
 
 /** How much room a suspect takes: one place, or all of them. */
-export type Room = 'a-place' | 'all-places';
+export type Permits = 'a-place' | 'all-places';
 
 interface Waiter {
-  readonly places: number;
-  readonly enter: () => void;
+  readonly permits: number;
+  readonly admit: () => void;
 }
 
-interface Places {
-  free: number;
-  readonly waiting: Waiter[];
+interface Semaphore {
+  available: number;
+  readonly queue: Waiter[];
 }
 
 /** Places for suspected requests at each start of an upstream, given in the order in which they are asked for. */
 export class Isolation {
-  private readonly byStart = new Map<string, Places>();
+  private readonly byStart = new Map<string, Semaphore>();
 
   /** Waits for room; whoever gets it gives it back by disposing of the result. Resolves without room when `signal` aborts. */
-  async enter(start: string, room: Room, signal: CancelSignal): Promise<Disposable> {
-    const there = this.byStart.get(start) ?? { free: PLACES, waiting: [] };
+  async enter(start: string, room: Permits, signal: CancelSignal): Promise<Disposable> {
+    const there = this.byStart.get(start) ?? { available: PERMITS_PER_INSTANCE, queue: [] };
     this.byStart.set(start, there);
-    const places = room === 'all-places' ? PLACES : 1;
-    const hasEntered = await entered(there, places, signal);
-    return { [Symbol.dispose]: () => this.leave(start, there, hasEntered ? places : 0) };
+    const places = room === 'all-places' ? PERMITS_PER_INSTANCE : 1;
+    const hasEntered = await acquired(there, places, signal);
+    return { [Symbol.dispose]: () => this.release(start, there, hasEntered ? places : 0) };
   }
 
-  private leave(start: string, there: Places, places: number): void {
-    there.free += places;
+  private release(start: string, there: Semaphore, places: number): void {
+    there.available += places;
     admitNext(there);
-    if (there.free === PLACES && there.waiting.length === 0) this.byStart.delete(start);
+    if (there.available === PERMITS_PER_INSTANCE && there.queue.length === 0) this.byStart.delete(start);
   }
 }
 
 /** Whether there was room before the signal aborted. */
-function entered(there: Places, places: number, signal: CancelSignal): Promise<boolean> {
+function acquired(there: Semaphore, places: number, signal: CancelSignal): Promise<boolean> {
   if (signal.aborted) return Promise.resolve(false);
   return new Promise(resolve => {
     const giveUp = () => {
-      there.waiting.splice(there.waiting.indexOf(waiter), 1);
+      there.queue.splice(there.queue.indexOf(waiter), 1);
       admitNext(there);
       resolve(false);
     };
     const waiter = {
-      places,
-      enter: () => {
+      permits: places,
+      admit: () => {
         signal.removeEventListener('abort', giveUp);
         resolve(true);
       },
     };
     signal.addEventListener('abort', giveUp, { once: true });
-    there.waiting.push(waiter);
+    there.queue.push(waiter);
     admitNext(there);
   });
 }
 
-function admitNext(there: Places): void {
-  for (let next = there.waiting[0]; next && next.places <= there.free; next = there.waiting[0]) {
-    there.waiting.shift();
-    there.free -= next.places;
-    next.enter();
+function admitNext(there: Semaphore): void {
+  for (let next = there.queue[0]; next && next.permits <= there.available; next = there.queue[0]) {
+    there.queue.shift();
+    there.available -= next.permits;
+    next.admit();
   }
 }
--- a/packages/quarantine/src/quarantineTable.ts
+++ b/packages/quarantine/src/quarantineTable.ts
@@ -1,16 +1,16 @@
 /** What outlives all daemons: a row for each service in the platform's table. */
-import { type KnownEnd } from './evidence.js';
+import { type Crash } from './evidence.js';
 import { type Verdict } from './verdicts.js';
 
 /** An end as it is kept. */
-export interface KeptEnd extends KnownEnd {
+export interface RecordedCrash extends Crash {
   /** When it was written, Unix ms. */
   readonly at: number;
 }
 
 /** What a row holds: ends of a service's upstreams, and verdicts. */
 export interface QuarantineRow {
-  readonly ends: readonly KeptEnd[];
+  readonly ends: readonly RecordedCrash[];
   readonly verdicts: readonly Verdict[];
 }
 
--- a/packages/quarantine/src/verdicts.ts
+++ b/packages/quarantine/src/verdicts.ts
@@ -8,7 +8,7 @@
  * Verdicts that are kept: each takes several ends of upstreams, so that nobody fills the memory with names. They take up to half of the 64 KiB of a
  * row.
  */
-const MOST_VERDICTS = 120;
+const MAX_VERDICTS = 120;
 
 /** What is known of one request. */
 export interface Verdict {
@@ -24,74 +24,77 @@
 }
 
 /** Whether the request is held back. */
-export function isHeld({ revision }: Pick<Verdict, 'revision'>): boolean {
+export function isQuarantined({ revision }: Pick<Verdict, 'revision'>): boolean {
   return revision % 2 === 1;
 }
 
 /** Verdicts by fingerprint. */
 export class Verdicts {
-  private readonly known = new Map<string, Verdict>();
-  private sum = 0;
-  private heldCount = 0;
+  private readonly byFingerprint = new Map<string, Verdict>();
+  private digestBits = 0;
+  private quarantined = 0;
 
   /** The same for two daemons that know the same; 0 for nothing. */
   get digest(): number {
-    return this.sum;
+    return this.digestBits;
   }
 
   /** Requests that are held back. */
-  get held(): number {
-    return this.heldCount;
+  get quarantinedCount(): number {
+    return this.quarantined;
   }
 
   get all(): Verdict[] {
-    return [...this.known.values()];
+    return [...this.byFingerprint.values()];
   }
 
   get(fingerprint: string): Verdict | undefined {
-    return this.known.get(fingerprint);
+    return this.byFingerprint.get(fingerprint);
   }
 
-  isHeld(fingerprint: string): boolean {
-    const verdict = this.known.get(fingerprint);
-    return verdict !== undefined && isHeld(verdict);
+  isQuarantined(fingerprint: string): boolean {
+    const verdict = this.byFingerprint.get(fingerprint);
+    return verdict !== undefined && isQuarantined(verdict);
   }
 
   isReleased(fingerprint: string): boolean {
-    const verdict = this.known.get(fingerprint);
-    return verdict !== undefined && !isHeld(verdict);
+    const verdict = this.byFingerprint.get(fingerprint);
+    return verdict !== undefined && !isQuarantined(verdict);
   }
 
   /** Takes a verdict if it is newer than what is known. Says whether it was. */
   put(verdict: Verdict): boolean {
-    const known = this.known.get(verdict.fingerprint);
-    if (known && known.revision >= verdict.revision) return this.describe(known, verdict);
-    if (!known && this.known.size >= MOST_VERDICTS && !this.makeRoom()) return false;
-    this.toggle(known);
-    this.toggle(verdict);
+    const known = this.byFingerprint.get(verdict.fingerprint);
+    if (known && known.revision >= verdict.revision) return this.addDescription(known, verdict);
+    if (!known && this.byFingerprint.size >= MAX_VERDICTS && !this.evictReleased()) return false;
+    this.toggleInDigest(known);
+    this.toggleInDigest(verdict);
     const asks = verdict.asks === '' ? (known?.asks ?? '') : verdict.asks;
-    this.known.set(verdict.fingerprint, { ...verdict, asks });
-    this.heldCount += Number(isHeld(verdict)) - Number(known !== undefined && isHeld(known));
+    this.byFingerprint.set(verdict.fingerprint, { ...verdict, asks });
+    this.quarantined += Number(isQuarantined(verdict)) - Number(known !== undefined && isQuarantined(known));
     return true;
   }
 
   /** Forgets a request that was released: the same at all daemons, as they know the same. */
-  private makeRoom(): boolean {
-    const released = this.all.filter(verdict => !isHeld(verdict)).map(({ fingerprint }) => fingerprint);
+  private evictReleased(): boolean {
+    const released = this.all
+      .filter(verdict => !isQuarantined(verdict))
+      .map(({ fingerprint }) => fingerprint);
     const [first] = released.sort();
     if (first === undefined) return false;
-    this.toggle(this.known.get(first));
-    return this.known.delete(first);
+    this.toggleInDigest(this.byFingerprint.get(first));
+    return this.byFingerprint.delete(first);
   }
 
   /** A verdict that was heard from another daemon doesn't say what its request asks; the record does. */
-  private describe(known: Verdict, { revision, asks }: Verdict): false {
+  private addDescription(known: Verdict, { revision, asks }: Verdict): false {
     if (known.revision === revision && known.asks === '')
-      this.known.set(known.fingerprint, { ...known, asks });
+      this.byFingerprint.set(known.fingerprint, { ...known, asks });
     return false;
   }
 
-  private toggle(verdict: Verdict | undefined): void {
-    if (verdict) this.sum = (this.sum ^ crc32(`${verdict.fingerprint} ${String(verdict.revision)}`)) >>> 0;
+  private toggleInDigest(verdict: Verdict | undefined): void {
+    if (verdict)
+      this.digestBits = (this.digestBits ^ crc32(`${verdict.fingerprint} ${String(verdict.revision)}`)) >>> 0;
   }
 }
--- a/tests/quarantine.spec.ts
+++ b/tests/quarantine.spec.ts
@@ -1,9 +1,9 @@
 import { type CancelSignal, Cancellation, ManualClock } from '@cleatquay/clock';
 import {
-  Evidence,
+  CrashHistory,
   Isolation,
-  RecentAnswers,
-  type Room,
+  RecentResponses,
+  type Permits,
   Verdicts,
   fingerprintOf,
 } from '@cleatquay/quarantine';
@@ -184,11 +184,13 @@
     fc.assert(
       fc.property(fc.array(word, { maxLength: 12 }), fc.array(fc.nat(11)), (words, again) => {
         const outcome = (list: typeof words) => {
-          const evidence = new Evidence(new ManualClock());
+          const evidence = new CrashHistory(new ManualClock());
           for (const { isClearing, start: at, fingerprint } of list)
-            if (isClearing) evidence.clearOf(fingerprint, [at]);
+            if (isClearing) evidence.clear(fingerprint, [at]);
             else evidence.add(at, [fingerprint]);
-          return [DEADLY, HARMLESS, ...OTHERS].map(fingerprint => evidence.startsUnder(fingerprint).sort());
+          return [DEADLY, HARMLESS, ...OTHERS].map(fingerprint =>
+            evidence.startsCrashedUnder(fingerprint).sort(),
+          );
         };
         const repeated = again.flatMap(i => words[i] ?? []);
         expect(outcome([...words, ...repeated].reverse())).to.deep.equal(outcome(words));
@@ -198,22 +200,22 @@
   });
 
   it('is bounded, whoever makes upstreams end', () => {
-    const evidence = new Evidence(new ManualClock());
+    const evidence = new CrashHistory(new ManualClock());
     for (let i = 0; i < 2000; i++) evidence.add(`u${String(i)}`, [i.toString(16).padStart(16, '0')]);
     expect(evidence.size).to.equal(300);
-    expect(evidence.suspects).to.equal(300);
+    expect(evidence.suspectCount).to.equal(300);
   });
 });
 
 describe('answers of late', () => {
   it('speak for their requests for ten seconds', () => {
     const clock = new ManualClock();
-    const answers = new RecentAnswers(clock);
+    const answers = new RecentResponses(clock);
     const fingerprint = fingerprintOf(HEAD, EMPTY);
     answers.add(HEAD, EMPTY);
-    expect(answers.among([fingerprint, DEADLY])).to.deep.equal([fingerprint]);
+    expect(answers.answeredAmong([fingerprint, DEADLY])).to.deep.equal([fingerprint]);
     clock.advance(10_001);
-    expect(answers.among([fingerprint])).to.deep.equal([]);
+    expect(answers.answeredAmong([fingerprint])).to.deep.equal([]);
   });
 });
 
@@ -227,7 +229,7 @@
     seen = [];
   });
 
-  const enter = async (name: string, room: Room, { start = 'u', signal = NEVER as CancelSignal } = {}) => {
+  const enter = async (name: string, room: Permits, { start = 'u', signal = NEVER as CancelSignal } = {}) => {
     const place = await isolation.enter(start, room, signal);
     seen.push(name);
     return place;
@@ -283,11 +285,11 @@
   it('are bounded: those that were released make room, those that hold don’t', () => {
     const verdicts = new Verdicts();
     for (let i = 0; i < 200; i++) verdicts.put(verdict(i));
-    expect(verdicts.held).to.equal(120);
+    expect(verdicts.quarantinedCount).to.equal(120);
     verdicts.put(verdict(7, 2));
     expect(verdicts.put(verdict(1000))).to.equal(true);
     expect(verdicts.get(verdict(7).fingerprint)).to.equal(undefined);
-    expect(verdicts.held).to.equal(120);
+    expect(verdicts.quarantinedCount).to.equal(120);
   });
 
   it('come to the same whatever is heard first, and are told apart by their digest', () => {
--- a/tests/quotas.spec.ts
+++ b/tests/quotas.spec.ts
@@ -1,4 +1,4 @@
-import { type Quota, ShareLoans } from '@cleatquay/organisations';
+import { type Quota, ShareLeases } from '@cleatquay/organisations';
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { QuotaSimulation } from './fixtures/quotaSimulation.js';
@@ -156,24 +156,24 @@
   describe('shares that are lent', () => {
     it('count only for as long as they are, and are told of when they are less', () => {
       const drops: number[] = [];
-      const loans = new ShareLoans(current => drops.push(current));
-      loans.take('a', 0.5, 400, 0);
-      loans.take('b', 0.25, 800, 0);
-      expect(loans.current(100)).to.equal(0.75);
-      expect(loans.wholeMs(400)).to.be.closeTo(300, 1e-9);
-      expect(loans.current(500)).to.equal(0.25);
-      expect(loans.wholeMs(2000)).to.be.closeTo(400, 1e-9);
+      const loans = new ShareLeases(current => drops.push(current));
+      loans.add('a', 0.5, 400, 0);
+      loans.add('b', 0.25, 800, 0);
+      expect(loans.currentShare(100)).to.equal(0.75);
+      expect(loans.fullShareMs(400)).to.be.closeTo(300, 1e-9);
+      expect(loans.currentShare(500)).to.equal(0.25);
+      expect(loans.fullShareMs(2000)).to.be.closeTo(400, 1e-9);
       expect(drops).to.deep.equal([0.25, 0]);
     });
 
     it('are not taken for longer than they can have been offered, nor when they are over, nor negative', () => {
-      const loans = new ShareLoans(() => undefined);
-      loans.take('far future', 0.5, 1e9, 0);
-      loans.take('over', 0.5, -1, 0);
-      loans.take('negative', -0.5, 100, 0);
-      loans.take('nothing', Number.NaN, 100, 0);
-      expect(loans.current(10)).to.equal(0.5);
-      expect(loans.current(1000)).to.equal(0);
+      const loans = new ShareLeases(() => undefined);
+      loans.add('far future', 0.5, 1e9, 0);
+      loans.add('over', 0.5, -1, 0);
+      loans.add('negative', -0.5, 100, 0);
+      loans.add('nothing', Number.NaN, 100, 0);
+      expect(loans.currentShare(10)).to.equal(0.5);
+      expect(loans.currentShare(1000)).to.equal(0);
     });
   });
 });
