--- a/packages/organisations/src/holders.ts
+++ b/packages/organisations/src/holders.ts
@@ -30,7 +30,7 @@
   constructor(private readonly options: CoordinatorDirectoryOptions) {}
 
   /** Gossip address of the coordinator in this daemon's failure domain. */
-  local(shard: number, now: number): string {
+  inSameDomain(shard: number, now: number): string {
     const cached = this.cache.get(shard);
     if (cached && now - cached.at < CACHE_MS) return cached.address;
     const address = this.select(shard, now);
@@ -39,7 +39,7 @@
   }
 
   /** Gossip addresses of the coordinators in the other failure domains. */
-  remote(shard: number): string[] {
+  inOtherDomains(shard: number): string[] {
     const { failureDomain, members } = this.options;
     const domains = new Map<string, string[]>();
     for (const { failureDomain: domain, gossipAddress } of members()) {
@@ -49,7 +49,7 @@
   }
 
   /** Whether a daemon is in this daemon's failure domain. */
-  isInOwnDomain(daemon: string): boolean {
+  isInSameDomain(daemon: string): boolean {
     const { failureDomain, members } = this.options;
     return [...members()].some(m => m.gossipAddress === daemon && m.failureDomain === failureDomain);
   }
@@ -71,8 +71,8 @@
 
   private select(shard: number, now: number): string {
     const { self, failureDomain, members } = this.options;
-    const local = [...members()].filter(member => member.failureDomain === failureDomain);
-    const addresses = local.map(({ gossipAddress }) => gossipAddress);
+    const sameDomain = [...members()].filter(member => member.failureDomain === failureDomain);
+    const addresses = sameDomain.map(({ gossipAddress }) => gossipAddress);
     const usable = addresses.filter(address => now >= (this.unresponsiveUntil.get(address) ?? 0));
     return coordinatorOf(shard, [self, ...usable]) ?? self;
   }
--- a/packages/organisations/src/organisationCounts.ts
+++ b/packages/organisations/src/organisationCounts.ts
@@ -9,7 +9,7 @@
 /** Counts since the daemon started, by outcome. */
 export type EndCounts = Record<RequestEnd, number>;
 
-/** Counts for the organisations of the configuration in force. */
+/** Counts for the organisations of the active configuration. */
 export class OrganisationCounts {
   private readonly counts = new Map<string, EndCounts>();
 
--- a/packages/organisations/src/quotaHolder.ts
+++ b/packages/organisations/src/quotaHolder.ts
@@ -27,7 +27,7 @@
   /** Quota by organisation; undefined if the organisation is unknown, 'none' if it has no limit. */
   readonly quotaOf: (organisation: string) => Quota | 'none' | undefined;
   /** Whether a daemon (by gossip address) is in this failure domain, so that its share may be granted here. */
-  readonly isInOwnDomain: (daemon: string) => boolean;
+  readonly isInSameDomain: (daemon: string) => boolean;
 }
 
 /** The token buckets of all shards; most shards are coordinated by other daemons. */
@@ -48,8 +48,8 @@
 
   /** Handles a request of another daemon, identified by its gossip address. */
   handleRequest({ number, shard, asks, loan, isTransfer }: QuotaQuestion, from: string): QuotaAnswer {
-    const { now, epoch, isInOwnDomain } = this.options;
-    if (loan?.epoch === epoch() && isInOwnDomain(from)) this.acceptLease(shard, from, loan.share, loan.until);
+    const { now, epoch, isInSameDomain } = this.options;
+    if (loan?.epoch === epoch() && isInSameDomain(from)) this.acceptLease(shard, from, loan.share, loan.until);
     const grants = asks.map(ask => this.grantFor(ask, isTransfer));
     const offer: ShareLoan = { epoch: epoch(), until: now() + LEASE_MS, share: 0 };
     return { number, shard, grants, offer };
--- a/packages/organisations/src/quotaPots.ts
+++ b/packages/organisations/src/quotaPots.ts
@@ -18,7 +18,7 @@
  */
 const MAX_RETRY_AFTER_MS = 5000;
 /** Fraction of a bucket that is not transferred to another failure domain. */
-const KEPT_FRACTION = 1 / 2;
+const KEPT_RATIO = 1 / 2;
 const MS_PER_SECOND = 1000;
 
 /** Outcome of a request for tokens. */
@@ -81,7 +81,7 @@
   /** Removes tokens (possibly a fraction) for another failure domain; half of the capacity stays. */
   transferOut(organisation: string, quota: Quota, wanted: number, now: number): number {
     const bucket = this.refill(organisation, quota, now);
-    const spare = Math.max(0, bucket.tokens - this.leasedCapacity(quota, now) * KEPT_FRACTION);
+    const spare = Math.max(0, bucket.tokens - this.leasedCapacity(quota, now) * KEPT_RATIO);
     const transferred = Math.min(wanted, spare);
     bucket.tokens -= transferred;
     return transferred;
@@ -94,11 +94,11 @@
     bucket.tokens = Math.min(this.leasedCapacity(quota, now), bucket.tokens + transferred);
   }
 
-  /** Tokens missing to the full capacity if the bucket holds less than the fraction it keeps, else 0. */
+  /** Tokens missing to the full capacity if the bucket is below the part it keeps, else 0. */
   deficit(organisation: string, quota: Quota, now: number): number {
     const capacity = this.leasedCapacity(quota, now);
     const { tokens } = this.refill(organisation, quota, now);
-    return tokens < capacity * KEPT_FRACTION ? capacity - tokens : 0;
+    return tokens < capacity * KEPT_RATIO ? capacity - tokens : 0;
   }
 
   /** After a share was leased elsewhere, its tokens are counted in the buckets there. */
@@ -140,7 +140,7 @@
 
   private domainCapacity({ burst }: Quota): number {
     const { failureDomains, slack } = this.division;
-    return (burst + slack * BUCKET_SLACK_FRACTION) / failureDomains;
+    return (burst + slack * BUCKET_SLACK_RATIO) / failureDomains;
   }
 
   private nextRetryAfterMs(bucket: TokenBucket, perMs: number, now: number): number {
@@ -154,4 +154,4 @@
 }
 
 /** Fraction of the slack by which buckets are enlarged; the rest covers tokens in transit between daemons. */
-const BUCKET_SLACK_FRACTION = 1 / 2;
+const BUCKET_SLACK_RATIO = 1 / 2;
--- a/packages/organisations/src/quotas.ts
+++ b/packages/organisations/src/quotas.ts
@@ -91,7 +91,7 @@
     this.coordinator = new QuotaCoordinator({
       ...options,
       quotaOf: name => this.quotas.get(name) ?? (this.organisations.has(name) ? 'none' : undefined),
-      isInOwnDomain: daemon => this.directory.isInOwnDomain(daemon),
+      isInSameDomain: daemon => this.directory.isInSameDomain(daemon),
     });
     this.shards = Array.from({ length: SHARD_COUNT }, () => ({
       queue: new QuotaQueue(),
@@ -100,7 +100,7 @@
     }));
   }
 
-  /** Applies the organisations of a configuration. */
+  /** Adopts the organisations of a configuration. */
   adopt(organisations: readonly Organisation[]): void {
     this.organisations = new Set(organisations.map(({ name }) => name));
     this.quotas = new Map(
@@ -118,7 +118,7 @@
     if (exhausted && now < exhausted.until)
       return this.count({ kind: 'over', retryAfterMs: this.jitter(exhausted.retryAt - now) });
     const shard = shardOf(organisation);
-    const isHere = this.directory.local(shard, now) === this.options.self;
+    const isHere = this.directory.inSameDomain(shard, now) === this.options.self;
     return (
       (isHere ? this.acquireLocally(organisation, quota, now) : undefined) ??
       this.enqueue(shard, organisation, now)
@@ -289,7 +289,7 @@
    */
   private sendRequests(index: number, now: number): void {
     const shard = this.shardAt(index);
-    const to = this.directory.local(index, now);
+    const to = this.directory.inSameDomain(index, now);
     if (to === this.options.self) return this.grantToSelf(index, now);
     const requests = shard.queue.takeUnrequested(now - RESEND_AFTER_MS, now);
     if (requests.size === 0 && now - shard.lastSentAt < LEASE_RENEWAL_MS) return;
@@ -329,7 +329,7 @@
     if (deficit <= 0) return;
     this.nextTransferAt.set(organisation, now + TRANSFER_INTERVAL_MS);
     const shard = shardOf(organisation);
-    const coordinators = this.directory.remote(shard);
+    const coordinators = this.directory.inOtherDomains(shard);
     // Asks each domain for an equal part, since tokens beyond the bucket's capacity would be lost.
     const requests = new Map([[organisation, deficit / coordinators.length]]);
     for (const to of coordinators)
--- a/packages/quarantine/src/evidence.ts
+++ b/packages/quarantine/src/evidence.ts
@@ -1,114 +1,113 @@
 /**
- * Which starts of upstreams ended while a request ran there. An end is known by the start that has ended, so that two daemons that saw it, or a
- * word that comes twice or late, count it once. Adding and excusing give the same result in any order.
+ * Records which upstream crashes each request may have caused. A crash is keyed by the process start
+ * of the upstream, so that reports of it by two daemons, and duplicate or late messages, count once. Adding
+ * suspects and clearing them commute.
  */
 import { type Clock } from '@cleatquay/clock';
 
-/** Ends that are kept in mind: more than a fleet has while it takes notice of a request; the oldest makes room. */
+/** More crashes than a fleet has before a query of death is quarantined; the oldest is evicted. */
 const MAX_CRASHES = 300;
-/** How long an end is kept in mind, ms. */
+/** How long a crash is retained. */
 const RETENTION_MS = 3_600_000;
 
 interface CrashRecord {
-  /** Clock time at which it was learned of, ms. */
+  /** Local time at which this daemon learned of the crash, ms. */
   readonly learnedAt: number;
-  /** Fingerprints of requests that ran there, less those that are cleared. */
+  /** Fingerprints of the requests in flight, without those that are cleared. */
   readonly suspects: Set<string>;
-  /** Fingerprints of requests that it did not end under, whatever is said later. */
+  /** Fingerprints of requests that are known not to be the cause; this overrides later reports. */
   readonly cleared: Set<string>;
-  /** The request that it ended under, once that is known. */
+  /** The request that caused the crash, once it is known. */
   culprit: string | undefined;
 }
 
-/** A start that has ended, and the requests that it may have ended under. */
+/** An upstream start that crashed, and the requests that may have caused it. */
 export interface Crash {
   readonly start: string;
   readonly fingerprints: readonly string[];
 }
 
-/** Ends of upstreams, and the requests that they may be due to. */
+/** Crashes of upstreams and the requests suspected of them. */
 export class CrashHistory {
   private readonly records = new Map<string, CrashRecord>();
   private readonly startsByRequest = new Map<string, Set<string>>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Requests that some end may be due to. */
+  /** Number of requests that are suspected of at least one crash. */
   get suspectCount(): number {
     return this.startsByRequest.size;
   }
 
-  /** Ends that are kept in mind. */
+  /** Number of retained crashes. */
   get size(): number {
     return this.records.size;
   }
 
-  /** An upstream ended while these ran there. Says whether that was news. */
+  /** Records the requests in flight when an upstream crashed; returns whether anything was new. */
   add(start: string, fingerprints: readonly string[]): boolean {
     this.removeExpired();
     const isKnown = this.records.has(start);
-    const end = this.recordOf(start);
-    const news = fingerprints.filter(fingerprint => isNewSuspect(end, fingerprint));
-    for (const fingerprint of news) this.addSuspect(start, end, fingerprint);
-    return !isKnown || news.length > 0;
+    const crash = this.recordOf(start);
+    const added = fingerprints.filter(fingerprint => isNewSuspect(crash, fingerprint));
+    for (const fingerprint of added) this.addSuspect(start, crash, fingerprint);
+    return !isKnown || added.length > 0;
   }
 
-  /** A request ended well, so that these starts did not end under it. Says whether that was news. */
+  /** Clears a request that completed of these crashes; returns whether anything was new. */
   clear(fingerprint: string, starts: readonly string[]): boolean {
-    const news = starts.filter(start => !this.recordOf(start).cleared.has(fingerprint));
-    for (const start of news) {
+    const added = starts.filter(start => !this.recordOf(start).cleared.has(fingerprint));
+    for (const start of added) {
       this.recordOf(start).cleared.add(fingerprint);
       this.removeSuspect(start, fingerprint);
     }
-    return news.length > 0;
+    return added.length > 0;
   }
 
-  /** The request that these starts ended under is known: all others that ran there are cleared of it. */
+  /** Attributes these crashes to one request, which clears all other requests of them. */
   attribute(fingerprint: string, starts: readonly string[]): void {
     for (const start of starts) {
-      const end = this.recordOf(start);
-      end.culprit = fingerprint;
-      for (const other of [...end.suspects]) if (other !== fingerprint) this.removeSuspect(start, other);
+      const crash = this.recordOf(start);
+      crash.culprit = fingerprint;
+      for (const other of [...crash.suspects]) if (other !== fingerprint) this.removeSuspect(start, other);
     }
   }
 
-  /** Starts that ended while the request ran there, and that it is not cleared from. */
-  startsCrashedUnder(fingerprint: string): string[] {
+  /** Process starts that crashed with the request in flight, without those that it is cleared of. */
+  crashedUnder(fingerprint: string): string[] {
     return [...(this.startsByRequest.get(fingerprint) ?? [])];
   }
 
-  /** Clock time at which the latest of those ends was learned of, ms. */
+  /** Local time at which this daemon learned of the latest of those crashes, ms. */
   lastCrashUnder(fingerprint: string): number {
-    return Math.max(
-      ...this.startsCrashedUnder(fingerprint).map(start => this.records.get(start)?.learnedAt ?? 0),
-    );
+    return Math.max(...this.crashedUnder(fingerprint).map(start => this.records.get(start)?.learnedAt ?? 0));
   }
 
-  /** Requests under which so many starts ended or more. */
-  withCrashes(ends: number): string[] {
+  /** Requests suspected of at least so many crashes. */
+  withCrashes(minCrashes: number): string[] {
     return [...this.startsByRequest]
-      .filter(([, starts]) => starts.size >= ends)
+      .filter(([, starts]) => starts.size >= minCrashes)
       .map(([fingerprint]) => fingerprint);
   }
 
-  /** An end as it is known. */
+  /** A crash with its remaining suspects. */
   get(start: string): Crash | undefined {
-    const end = this.records.get(start);
-    return end && { start, fingerprints: [...end.suspects] };
+    const crash = this.records.get(start);
+    return crash && { start, fingerprints: [...crash.suspects] };
   }
 
   private recordOf(start: string): CrashRecord {
-    let end = this.records.get(start);
-    if (end) return end;
-    end = { learnedAt: this.clock.now(), suspects: new Set(), cleared: new Set(), culprit: undefined };
-    this.records.set(start, end);
+    let crash = this.records.get(start);
+    if (crash) return crash;
+    crash = { learnedAt: this.clock.now(), suspects: new Set(), cleared: new Set(), culprit: undefined };
+    this.records.set(start, crash);
     const [oldest] = this.records.keys();
     if (this.records.size > MAX_CRASHES && oldest !== undefined) this.remove(oldest);
-    return end;
+    return crash;
   }
 
-  private addSuspect(start: string, end: CrashRecord, fingerprint: string): void {
-    end.suspects.add(fingerprint);
+  private addSuspect(start: string, crash: CrashRecord, fingerprint: string): void {
+    crash.suspects.add(fingerprint);
     const starts = this.startsByRequest.get(fingerprint) ?? new Set();
     this.startsByRequest.set(fingerprint, starts.add(start));
   }
@@ -122,8 +121,8 @@
 
   private removeExpired(): void {
     const oldest = this.clock.now() - RETENTION_MS;
-    for (const [start, { learnedAt: at }] of this.records) {
-      if (at >= oldest) return;
+    for (const [start, { learnedAt }] of this.records) {
+      if (learnedAt >= oldest) return;
       this.remove(start);
     }
   }
@@ -135,7 +134,7 @@
   }
 }
 
-function isNewSuspect({ suspects, cleared, culprit: cause }: CrashRecord, fingerprint: string): boolean {
-  if (cause !== undefined && cause !== fingerprint) return false;
+function isNewSuspect({ suspects, cleared, culprit }: CrashRecord, fingerprint: string): boolean {
+  if (culprit !== undefined && culprit !== fingerprint) return false;
   return !suspects.has(fingerprint) && !cleared.has(fingerprint);
 }
--- a/packages/quarantine/src/findings.ts
+++ b/packages/quarantine/src/findings.ts
@@ -1,24 +1,24 @@
-/** What daemons tell each other of requests under which upstreams end, between messages and what they mean. */
+/** Converts between the quarantine's state and the findings that daemons send each other. */
 import { type Finding, type FindingKind } from '@cleatquay/protocol';
 import { FINGERPRINT_DIGITS } from './fingerprint.js';
 import { type Verdict, isQuarantined } from './verdicts.js';
 
 const FINGERPRINT_BYTES = FINGERPRINT_DIGITS / 2;
-/** Starts of one finding, at most: it has to fit into a datagram. */
+/** Most starts in one finding, which has to fit into a datagram. */
 const MAX_STARTS = 8;
 const MAX_START_CHARS = 64;
-/** Characters of what a request asks, as it is told. */
+/** Longest method and path that a finding carries. */
 export const MAX_ASKS_CHARS = 100;
 
-/** A finding about some requests and starts. */
+/** Creates a finding about requests and process starts of upstreams. */
 export function findingOf(
   kind: FindingKind,
   starts: readonly string[],
   fingerprints: readonly string[],
-  more: { readonly revision?: number; readonly asks?: string } = {},
+  details: { readonly revision?: number; readonly asks?: string } = {},
 ): Finding {
   const bytes = Buffer.concat(fingerprints.map(fingerprint => Buffer.from(fingerprint, 'hex')));
-  const { revision = 0, asks = '' } = more;
+  const { revision = 0, asks = '' } = details;
   return {
     kind,
     starts: starts.slice(0, MAX_STARTS),
@@ -28,7 +28,7 @@
   };
 }
 
-/** What clears a request of starts: as many findings as these take. */
+/** Findings that clear a request of crashes, as many as the size limit requires. */
 export function clearanceFindings(fingerprint: string, starts: readonly string[]): Finding[] {
   const count = Math.ceil(starts.length / MAX_STARTS);
   return Array.from({ length: count }, (_, i) =>
@@ -36,13 +36,13 @@
   );
 }
 
-/** A verdict as it is told. */
+/** The finding that announces a verdict. */
 export function findingOfVerdict(verdict: Verdict): Finding {
   const { starts, fingerprint, revision, asks } = verdict;
   return findingOf(isQuarantined(verdict) ? 'HELD' : 'RELEASED', starts, [fingerprint], { revision, asks });
 }
 
-/** The fingerprints that a finding is about. */
+/** Splits a finding's bytes into fingerprints. */
 export function fingerprintsIn({ fingerprints }: Finding): string[] {
   const bytes = Buffer.from(fingerprints);
   const count = Math.floor(bytes.length / FINGERPRINT_BYTES);
@@ -51,9 +51,9 @@
   );
 }
 
-/** Whether a finding from a datagram can be taken. */
+/** Checks the sizes of a finding that was received in a datagram. */
 export function isValidFinding({ starts, fingerprints, asks }: Finding): boolean {
-  const isWhole = fingerprints.length > 0 && fingerprints.length % FINGERPRINT_BYTES === 0;
-  const isShort = starts.length <= MAX_STARTS && asks.length <= MAX_ASKS_CHARS;
-  return isWhole && isShort && starts.every(start => start.length <= MAX_START_CHARS);
+  const hasWholeFingerprints = fingerprints.length > 0 && fingerprints.length % FINGERPRINT_BYTES === 0;
+  const isWithinLimits = starts.length <= MAX_STARTS && asks.length <= MAX_ASKS_CHARS;
+  return hasWholeFingerprints && isWithinLimits && starts.every(start => start.length <= MAX_START_CHARS);
 }
--- a/packages/quarantine/src/fingerprint.ts
+++ b/packages/quarantine/src/fingerprint.ts
@@ -1,11 +1,11 @@
-/** Names a request by what it asks, so that it is known again under another id, at another VM. */
+/** Fingerprints identify a request by its content, across request ids and VMs. */
 import { type RequestHead } from '@cleatquay/protocol';
 import { createHash } from 'node:crypto';
 
-/** Digits of a fingerprint: 64 bits of a cryptographic hash, so that nobody can make a request that is taken for another's. */
+/** 64 bits of a cryptographic hash, so that nobody can craft a request with another one's fingerprint. */
 export const FINGERPRINT_DIGITS = 16;
 
-/** Headers, in lower case, that differ between two attempts of one request, or with the way that it took. */
+/** Headers (lower case) that differ between attempts of one request or depend on its route. */
 const PER_ATTEMPT_HEADERS: ReadonlySet<string> = new Set([
   'b3',
   'baggage',
@@ -28,13 +28,13 @@
   'x-request-id',
 ]);
 
-/** Bytes of a body that name it: of a longer one, daemons have only a stream. */
+/** Daemons keep no more of a body; the rest is only streamed. */
 const MAX_HASHED_BODY_BYTES = 65_536;
 
-/** What of a request says what it asks, and for whom. */
+/** The parts of a request's head that enter its fingerprint. */
 export type FingerprintHead = Pick<RequestHead, 'method' | 'path' | 'headers'>;
 
-/** The fingerprint of a request: its method, path, query and body, and the headers that say for whom it is. Of a long body its beginning does. */
+/** Hashes method, path, query, the headers that identify the caller, and the body up to a maximum length. */
 export function fingerprintOf({ method, path, headers }: FingerprintHead, body: Uint8Array): string {
   return createHash('sha256')
     .update(`${method} ${path}\n${stableHeaders(headers)}\n`)
@@ -43,7 +43,7 @@
     .slice(0, FINGERPRINT_DIGITS);
 }
 
-/** Those headers of a block of names and values by turns that stay the same when the request is asked again. */
+/** The headers that stay the same in every attempt, from a block of alternating names and values. */
 function stableHeaders(block: string): string {
   const lines = block.split('\n');
   let lasting = '';
--- a/packages/quarantine/src/index.ts
+++ b/packages/quarantine/src/index.ts
@@ -1,4 +1,4 @@
-/** Requests under which upstreams end: what is known of them, and which are held back. */
+/** Detection and quarantine of queries of death: requests that crash the upstreams that process them. */
 export { CrashHistory, type Crash } from './evidence.js';
 export { type FingerprintHead, FINGERPRINT_DIGITS, fingerprintOf } from './fingerprint.js';
 export { findingOf, fingerprintsIn } from './findings.js';
--- a/packages/quarantine/src/isolation.ts
+++ b/packages/quarantine/src/isolation.ts
@@ -1,13 +1,17 @@
 /**
- * Lets few suspected requests at a time run at an upstream, and the most suspected ones beside no other suspect. If the upstream ends, few come
- * into question, and at last one: two that always ran side by side could not be told apart, and the harmless one would be held back with the other.
+ * Limits how many suspects run at an upstream at a time; strong suspects run without any other suspect. A crash
+ * then has few suspects, and finally one: of two that always ran together, the harmless one would be
+ * quarantined, too.
  */
 import { type CancelSignal } from '@cleatquay/clock';
 
-/** Suspects that run side by side at an upstream: few enough for the next end to tell most of them apart, and enough for dozens to get through. */
-const PERMITS_PER_INSTANCE = 4;
+/**
+ * Concurrent suspects per process start of an upstream: few enough that the next crash clears most suspects, and enough
+ * for dozens to get through.
+ */
+const PERMITS_PER_START = 4;
 
-/** How much room a suspect takes: one place, or all of them. */
+/** Permits that a suspect needs: one, or all of them. */
 export type Permits = 'a-place' | 'all-places';
 
 interface Waiter {
@@ -20,52 +24,58 @@
   readonly queue: Waiter[];
 }
 
-/** Places for suspected requests at each start of an upstream, given in the order in which they are asked for. */
+/** A semaphore for suspects at each process start of an upstream; permits are granted in FIFO order. */
 export class Isolation {
   private readonly byStart = new Map<string, Semaphore>();
 
-  /** Waits for room; whoever gets it gives it back by disposing of the result. Resolves without room when `signal` aborts. */
-  async enter(start: string, room: Permits, signal: CancelSignal): Promise<Disposable> {
-    const there = this.byStart.get(start) ?? { available: PERMITS_PER_INSTANCE, queue: [] };
-    this.byStart.set(start, there);
-    const places = room === 'all-places' ? PERMITS_PER_INSTANCE : 1;
-    const hasEntered = await acquired(there, places, signal);
-    return { [Symbol.dispose]: () => this.release(start, there, hasEntered ? places : 0) };
+  /**
+   * Waits for permits, which disposing of the result releases. Resolves without permits when `signal` aborts.
+   */
+  async enter(start: string, wanted: Permits, signal: CancelSignal): Promise<Disposable> {
+    const semaphore = this.byStart.get(start) ?? { available: PERMITS_PER_START, queue: [] };
+    this.byStart.set(start, semaphore);
+    const permits = wanted === 'all-places' ? PERMITS_PER_START : 1;
+    const hasPermits = await acquired(semaphore, permits, signal);
+    return { [Symbol.dispose]: () => this.release(start, semaphore, hasPermits ? permits : 0) };
   }
 
-  private release(start: string, there: Semaphore, places: number): void {
-    there.available += places;
-    admitNext(there);
-    if (there.available === PERMITS_PER_INSTANCE && there.queue.length === 0) this.byStart.delete(start);
+  private release(start: string, semaphore: Semaphore, permits: number): void {
+    semaphore.available += permits;
+    admitNext(semaphore);
+    if (semaphore.available === PERMITS_PER_START && semaphore.queue.length === 0) this.byStart.delete(start);
   }
 }
 
-/** Whether there was room before the signal aborted. */
-function acquired(there: Semaphore, places: number, signal: CancelSignal): Promise<boolean> {
+/** Resolves to whether the permits were granted before the signal aborted. */
+function acquired(semaphore: Semaphore, permits: number, signal: CancelSignal): Promise<boolean> {
   if (signal.aborted) return Promise.resolve(false);
   return new Promise(resolve => {
-    const giveUp = () => {
-      there.queue.splice(there.queue.indexOf(waiter), 1);
-      admitNext(there);
+    const cancel = () => {
+      semaphore.queue.splice(semaphore.queue.indexOf(waiter), 1);
+      admitNext(semaphore);
       resolve(false);
     };
     const waiter = {
-      permits: places,
+      permits,
       admit: () => {
-        signal.removeEventListener('abort', giveUp);
+        signal.removeEventListener('abort', cancel);
         resolve(true);
       },
     };
-    signal.addEventListener('abort', giveUp, { once: true });
-    there.queue.push(waiter);
-    admitNext(there);
+    signal.addEventListener('abort', cancel, { once: true });
+    semaphore.queue.push(waiter);
+    admitNext(semaphore);
   });
 }
 
-function admitNext(there: Semaphore): void {
-  for (let next = there.queue[0]; next && next.permits <= there.available; next = there.queue[0]) {
-    there.queue.shift();
-    there.available -= next.permits;
+function admitNext(semaphore: Semaphore): void {
+  for (
+    let next = semaphore.queue[0];
+    next && next.permits <= semaphore.available;
+    next = semaphore.queue[0]
+  ) {
+    semaphore.queue.shift();
+    semaphore.available -= next.permits;
     next.admit();
   }
 }
--- a/packages/quarantine/src/quarantine.ts
+++ b/packages/quarantine/src/quarantine.ts
@@ -1,9 +1,11 @@
 /**
- * Requests under which one upstream after another ends. What ran where an upstream ended is told to all daemons; a request under which three
- * have ended, and that has ended well nowhere, is held back everywhere until an operator releases it.
+ * Quarantines queries of death: requests that crash one upstream after another. Daemons broadcast which
+ * requests were in flight when an upstream crashed. A request that was in flight at three crashes and completed
+ * nowhere is quarantined, that is, refused by all daemons until an operator releases it.
  *
- * A request that is held back without reason is refused until somebody notices, so that much speaks for it: it is cleared of an end as soon as it
- * ends well anywhere, or if it did of late; once an end is another's, it counts against nobody else; and suspects run beside few others or none
+ * Several rules protect harmless requests, since a wrong quarantine lasts until somebody notices: a request is
+ * cleared of a crash as soon as it completes anywhere, or if it completed recently; a crash that is attributed
+ * to one request no longer counts against others; and suspects run next to few other suspects or none
  * (`isolation.ts`).
  */
 import { type Clock, type Random, type Timer } from '@cleatquay/clock';
@@ -23,47 +25,50 @@
 import { QuarantinePersistence } from './recordKeeper.js';
 import { type Verdict, Verdicts, isQuarantined } from './verdicts.js';
 
-/** Ends under one request after which it is held back. One may be chance, and two may be beside another's. */
+/** Crashes until a request is quarantined: one can be a coincidence, two can be due to another request. */
 const QUARANTINE_CRASHES = 3;
-/** Ends under one request after which it runs beside no other suspect. */
+/** Crashes until a request runs without any other suspect. */
 const STRONG_SUSPECT_CRASHES = 2;
-/** A verdict waits so long for what clears the request, ms: word of it takes two rounds of gossip. Until then it is held back all the same. */
+/**
+ * Delay of a verdict, so that two rounds of gossip can deliver what clears the request; until then it is
+ * refused already.
+ */
 const DECISION_DELAY_MS = 250;
-/** A request that is held back may come again as often as it likes, and is told not to come soon, ms. */
+/** A quarantined request may be retried at any rate, so callers are told to wait long. */
 const QUARANTINED_RETRY_AFTER_MS = 60_000;
 const UNDECIDED_RETRY_AFTER_MS = 2 * DECISION_DELAY_MS;
-/** Requests of which it is remembered what they ask, for people. */
+/** Requests whose method and path are stored for display. */
 const MAX_DESCRIPTIONS = 500;
-/** Starts that a verdict names, of those that ended under its request. */
+/** Crashed process starts that a verdict names. */
 const MAX_VERDICT_STARTS = 4;
 
-/** Whether a request may run: as any other, beside few other suspects, beside none of them, or not at all. */
+/** Whether a request may run: without restrictions, next to few other suspects, next to none, or not at all. */
 export type Standing = 'free' | 'suspect' | 'strong-suspect' | 'held';
 
-/** A request that ran where an upstream ended. */
+/** A request that was in flight when an upstream crashed. */
 export interface SuspectRequest extends Pick<FingerprintHead, 'method' | 'path'> {
   readonly fingerprint: string;
 }
 
-/** A request under which so many upstreams ended that it is held back. */
+/** A request with enough crashes for a quarantine. */
 interface Attribution {
   readonly fingerprint: string;
   readonly starts: readonly string[];
 }
 
-/** What a quarantine needs of its daemon. */
+/** Dependencies of the quarantine. */
 export interface QuarantineOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly table: QuarantineTable;
-  /** Service of the upstream beside this daemon. */
+  /** Service of the local upstream. */
   readonly service: string;
-  /** Tells all other daemons. */
+  /** Sends the finding to all other daemons. */
   readonly spread: (finding: Finding) => void;
   readonly log: (message: string, facts: object) => void;
 }
 
-/** What one daemon knows of such requests. */
+/** The queries of death and suspects that one daemon knows. */
 export class Quarantine implements AsyncDisposable {
   private readonly crashes: CrashHistory;
   private readonly verdicts = new Verdicts();
@@ -88,27 +93,27 @@
     });
   }
 
-  /** Starts to read what was recorded. */
+  /** Starts to read the stored rows. */
   start(): void {
     this.persistence.start();
   }
 
-  /** Resolves when what was recorded is known; undefined once it is, or nobody should wait for it any more. */
+  /** Resolves when the stored rows are loaded or the maximum wait is over; undefined from then on. */
   get known(): Promise<void> | undefined {
     return this.persistence.loaded;
   }
 
-  /** Whether no request is held back or suspected, so that none needs to be told apart. */
+  /** Whether no request is quarantined or suspected, so that fingerprints aren't needed. */
   get isEmpty(): boolean {
     return this.verdicts.quarantinedCount === 0 && this.crashes.suspectCount === 0;
   }
 
-  /** Digest of the verdicts, which tells whether another daemon knows the same; 0 for none. */
+  /** Digest of the verdicts, which differs between daemons with different verdicts; 0 for none. */
   get digest(): number {
     return this.verdicts.digest;
   }
 
-  /** All verdicts, as they are told to a daemon that has others. */
+  /** All verdicts, to send to a daemon whose digest differs. */
   get findings(): Finding[] {
     return this.verdicts.all.map(findingOfVerdict);
   }
@@ -118,7 +123,7 @@
     return this.verdicts.all.map(verdict => ({ ...verdict, isHeld: isQuarantined(verdict) }));
   }
 
-  /** How many requests are held back, and how many are suspected; ends of upstreams that are kept in mind. */
+  /** Numbers of quarantined requests, of suspects, and of retained crashes. */
   get counts(): { readonly held: number; readonly suspects: number; readonly ends: number } {
     return {
       held: this.verdicts.quarantinedCount,
@@ -129,18 +134,21 @@
 
   standingOf(fingerprint: string): Standing {
     if (this.verdicts.isQuarantined(fingerprint)) return 'held';
-    const ends = this.crashes.startsCrashedUnder(fingerprint).length;
-    if (ends >= QUARANTINE_CRASHES) return 'held';
-    if (ends >= STRONG_SUSPECT_CRASHES) return 'strong-suspect';
-    return ends > 0 ? 'suspect' : 'free';
+    const crashes = this.crashes.crashedUnder(fingerprint).length;
+    if (crashes >= QUARANTINE_CRASHES) return 'held';
+    if (crashes >= STRONG_SUSPECT_CRASHES) return 'strong-suspect';
+    return crashes > 0 ? 'suspect' : 'free';
   }
 
-  /** When a request that is held back may come again, ms: soon while there is no verdict, since it may be cleared. */
+  /** When a refused request may be retried, ms: soon while there is no verdict, since it may be cleared. */
   retryAfterMs(fingerprint: string): number {
     return this.verdicts.isQuarantined(fingerprint) ? QUARANTINED_RETRY_AFTER_MS : UNDECIDED_RETRY_AFTER_MS;
   }
 
-  /** The upstream beside this daemon ended while these ran there. Resolves when what others know of them is known, or doesn't come soon. */
+  /**
+   * Reports that the local upstream crashed with these requests in flight. Resolves when the other daemons'
+   * stored crashes are loaded, or the maximum wait is over.
+   */
   async upstreamEnded(start: string, requests: readonly SuspectRequest[]): Promise<void> {
     if (requests.length === 0) return;
     for (const { fingerprint, method, path } of requests)
@@ -155,24 +163,31 @@
     await this.persistence.recordCrash(start);
   }
 
-  /** Starts that ended while the request ran there, as far as is known here; for the daemon that it is sent to. */
+  /**
+   * Process starts that crashed with the request in flight, to forward to the daemon that the request is sent to.
+   */
   startsUnder(fingerprint: string): string[] {
-    return this.crashes.startsCrashedUnder(fingerprint);
+    return this.crashes.crashedUnder(fingerprint);
   }
 
-  /** A call that this daemon sent ran where an upstream ended; the daemon there may be gone before it can tell others. */
+  /**
+   * Reports that a request that this daemon sent was in flight when a remote upstream crashed; that VM's daemon
+   * may fail before it reports it.
+   */
   endedUnder({ fingerprint, method, path }: SuspectRequest, start: string): void {
     this.setDescription(fingerprint, `${method} ${path}`);
     this.publish(findingOf('ENDED', [start], [fingerprint]));
   }
 
-  /** An upstream gave a whole answer to the request. `fingerprint` makes its fingerprint if it is needed. */
+  /**
+   * Records that an upstream sent a complete response. The fingerprint is only computed if there are suspects.
+   */
   answered(head: FingerprintHead, body: Uint8Array, fingerprint: () => string): void {
     this.responses.add(head, body);
     if (this.crashes.suspectCount > 0) this.clearFromKnownCrashes(fingerprint());
   }
 
-  /** Takes what another daemon found out. Says whether it was news, which is then passed on. */
+  /** Handles a finding of another daemon; returns whether it was new, so that the caller forwards it. */
   heard(finding: Finding): boolean {
     if (!isValidFinding(finding)) return false;
     const { kind, starts, revision, asks } = finding;
@@ -197,7 +212,10 @@
     }
   }
 
-  /** Lets a request run again, everywhere. Says whether it was held back; fails if that can't be recorded. */
+  /**
+   * Releases a request from quarantine on all daemons. Returns whether it was quarantined; rejects if the
+   * release can't be stored.
+   */
   async release(fingerprint: string): Promise<boolean> {
     const verdict = this.verdicts.get(fingerprint);
     if (!verdict || !isQuarantined(verdict)) return false;
@@ -217,48 +235,50 @@
   }
 
   private addCrash(start: string, fingerprints: readonly string[]): boolean {
-    const isNews = this.crashes.add(start, fingerprints);
-    if (!isNews) return false;
+    const isNew = this.crashes.add(start, fingerprints);
+    if (!isNew) return false;
     this.attributeToQuarantined(start, fingerprints);
-    for (const answered of this.responses.answeredAmong(fingerprints)) this.clearFromKnownCrashes(answered);
+    for (const completed of this.responses.answeredAmong(fingerprints)) this.clearFromKnownCrashes(completed);
     this.scheduleDecision();
     return true;
   }
 
-  /** An end while a request ran that is held back anyway is due to that one: nothing else is suspected of it. */
+  /** Attributes a crash to a quarantined request that was in flight, which clears the others. */
   private attributeToQuarantined(start: string, fingerprints: readonly string[]): void {
-    const held = fingerprints.find(fingerprint => this.verdicts.isQuarantined(fingerprint));
-    if (held !== undefined) this.crashes.attribute(held, [start]);
+    const quarantined = fingerprints.find(fingerprint => this.verdicts.isQuarantined(fingerprint));
+    if (quarantined !== undefined) this.crashes.attribute(quarantined, [start]);
   }
 
-  /** The request ended well: it is cleared of all ends that are known so far. */
+  /** Clears a completed request of all crashes known so far. */
   private clearFromKnownCrashes(fingerprint: string): void {
-    const starts = this.crashes.startsCrashedUnder(fingerprint);
+    const starts = this.crashes.crashedUnder(fingerprint);
     for (const finding of clearanceFindings(fingerprint, starts)) this.publish(finding);
   }
 
   private clear(fingerprint: string, starts: readonly string[]): boolean {
-    const isNews = this.crashes.clear(fingerprint, starts);
-    if (isNews) this.persistence.onChange(starts);
-    return isNews;
+    const isNew = this.crashes.clear(fingerprint, starts);
+    if (isNew) this.persistence.onChange(starts);
+    return isNew;
   }
 
   private decide(): void {
     this.decisionTimer = undefined;
-    // Two that ran beside each other each time can't be told apart: both are held back.
-    const attributed: Attribution[] = this.crashes
+    // Requests that were always in flight together can't be told apart, so both are quarantined.
+    const attributions: Attribution[] = this.crashes
       .withCrashes(QUARANTINE_CRASHES)
       .filter(fingerprint => !this.verdicts.isQuarantined(fingerprint))
-      .map(fingerprint => ({ fingerprint, starts: this.crashes.startsCrashedUnder(fingerprint) }));
+      .map(fingerprint => ({ fingerprint, starts: this.crashes.crashedUnder(fingerprint) }));
     const isDue = ({ fingerprint }: Attribution) => this.decidableAt(fingerprint) <= this.options.clock.now();
-    for (const one of attributed) if (isDue(one)) this.quarantine(one);
-    if (!attributed.every(isDue)) this.scheduleDecision();
+    for (const attribution of attributions) if (isDue(attribution)) this.quarantine(attribution);
+    if (!attributions.every(isDue)) this.scheduleDecision();
   }
 
-  /** When a request may be decided on; first by daemons that know what it asks, so that all are told. */
+  /**
+   * When a verdict may be made; first by daemons that know method and path, so that all others receive these.
+   */
   private decidableAt(fingerprint: string): number {
-    const wait = this.descriptions.has(fingerprint) ? DECISION_DELAY_MS : 2 * DECISION_DELAY_MS;
-    return this.crashes.lastCrashUnder(fingerprint) + wait;
+    const delayMs = this.descriptions.has(fingerprint) ? DECISION_DELAY_MS : 2 * DECISION_DELAY_MS;
+    return this.crashes.lastCrashUnder(fingerprint) + delayMs;
   }
 
   private scheduleDecision(): void {
@@ -269,27 +289,32 @@
     const revision = (this.verdicts.get(fingerprint)?.revision ?? 0) + 1;
     const since = this.options.clock.date().getTime();
     const asks = this.descriptions.get(fingerprint) ?? '';
-    this.publishVerdict({ fingerprint, revision, starts, since, asks }, 'its ends');
+    this.publishVerdict({ fingerprint, revision, starts, since, asks }, 'its crashes');
   }
 
-  private publishVerdict(verdict: Verdict, from: 'its ends' | 'an operator'): void {
+  private publishVerdict(verdict: Verdict, from: 'its crashes' | 'an operator'): void {
     if (this.applyVerdict(verdict, from)) this.options.spread(findingOfVerdict(verdict));
   }
 
-  /** Those that saw ends of the request record its verdict. One that is released starts anew: the ends under it are its own no more. */
+  /**
+   * Applies a newer verdict; daemons that saw one of its crashes store it. A release clears the request of all
+   * crashes so far.
+   */
   private applyVerdict(
     verdict: Verdict,
-    from: 'its ends' | 'an operator' | 'another daemon' | 'the record',
+    from: 'its crashes' | 'an operator' | 'another daemon' | 'a stored row',
   ): boolean {
     const { fingerprint, starts } = verdict;
     const asks = this.descriptions.get(fingerprint) ?? verdict.asks;
     if (!this.verdicts.put({ ...verdict, starts: starts.slice(0, MAX_VERDICT_STARTS), asks })) return false;
-    const all = [...starts, ...this.crashes.startsCrashedUnder(fingerprint)];
-    if (isQuarantined(verdict)) this.crashes.attribute(fingerprint, all);
-    else this.crashes.clear(fingerprint, all);
-    const message = isQuarantined(verdict) ? 'A request is held back.' : 'A request is released.';
+    const allStarts = [...starts, ...this.crashes.crashedUnder(fingerprint)];
+    if (isQuarantined(verdict)) this.crashes.attribute(fingerprint, allStarts);
+    else this.crashes.clear(fingerprint, allStarts);
+    const message = isQuarantined(verdict)
+      ? 'A request is quarantined.'
+      : 'A request is released from quarantine.';
     this.options.log(message, { fingerprint, asks, starts, from });
-    if (from !== 'the record' && this.persistence.sawAnyOf(starts))
+    if (from !== 'a stored row' && this.persistence.sawAnyOf(starts))
       void this.persistence.write().catch(() => undefined);
     return true;
   }
@@ -297,12 +322,12 @@
   private applyRow({ ends, verdicts }: QuarantineRow): void {
     for (const verdict of verdicts) {
       if (verdict.asks !== '') this.setDescription(verdict.fingerprint, verdict.asks);
-      if (this.applyVerdict(verdict, 'the record')) this.options.spread(findingOfVerdict(verdict));
+      if (this.applyVerdict(verdict, 'a stored row')) this.options.spread(findingOfVerdict(verdict));
     }
     for (const { start, fingerprints } of ends) this.applyCrash(start, fingerprints);
   }
 
-  /** A request that was released starts anew, also for a daemon that learns of its ends from the record. */
+  /** Stored crashes don't count against a request that was released since. */
   private applyCrash(start: string, fingerprints: readonly string[]): void {
     const suspects = fingerprints.filter(fingerprint => !this.verdicts.isReleased(fingerprint));
     this.crashes.add(start, suspects);
--- a/packages/quarantine/src/quarantineTable.ts
+++ b/packages/quarantine/src/quarantineTable.ts
@@ -1,39 +1,41 @@
-/** What outlives all daemons: a row for each service in the platform's table. */
+/** Storage that outlives all daemons: one row per service in the platform's table. */
 import { type Crash } from './evidence.js';
 import { type Verdict } from './verdicts.js';
 
-/** An end as it is kept. */
+/** A crash as it is stored. */
 export interface RecordedCrash extends Crash {
-  /** When it was written, Unix ms. */
+  /** When it was stored, Unix ms. */
   readonly at: number;
 }
 
-/** What a row holds: ends of a service's upstreams, and verdicts. */
+/** Contents of a row: crashes of a service's upstreams, and verdicts. */
 export interface QuarantineRow {
   readonly ends: readonly RecordedCrash[];
   readonly verdicts: readonly Verdict[];
 }
 
-/** A row as the table has it. */
+/** A row as listed by the table. */
 export interface ListedQuarantineRow extends QuarantineRow {
   readonly service: string;
   readonly version: number;
 }
 
-/** How a conditional write went: done, or the row that was there instead, if any. */
+/** Result of a conditional write: done, or the row that is there instead, if any. */
 export interface QuarantineWrite {
   readonly isDone: boolean;
-  /** Version of the row that is there now; 0 for none. */
+  /** Version of the current row; 0 for none. */
   readonly version: number;
   readonly found: QuarantineRow | undefined;
 }
 
-/** The table. Every call may fail, also after it took effect. */
+/** The table. Any call may fail, even after it took effect. */
 export interface QuarantineTable {
   readonly list: (signal: AbortSignal) => Promise<readonly ListedQuarantineRow[]>;
-  /** Has the listener told of rows that are read together with others: soon after the start, and now and then. */
+  /**
+   * Subscribes to rows that are read as part of other reads: soon after the start, and occasionally afterwards.
+   */
   readonly watch: (listener: (rows: readonly ListedQuarantineRow[]) => void) => void;
-  /** Writes the row of a service in place of that of the version, 0 for none. */
+  /** Replaces the row of a service if its version is still `version`; 0 for no row. */
   readonly write: (
     service: string,
     row: QuarantineRow,
@@ -42,7 +44,7 @@
   ) => Promise<QuarantineWrite>;
 }
 
-/** Stands for a table where there is none: what is known lasts as long as some daemon runs. */
+/** Used where there is no table: the state lasts as long as at least one daemon runs. */
 export const NO_TABLE: QuarantineTable = {
   list: () => Promise.resolve([]),
   watch: listener => listener([]),
--- a/packages/quarantine/src/recordKeeper.ts
+++ b/packages/quarantine/src/recordKeeper.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps what is known of requests under which upstreams end in the platform's table. That is what a fleet knows that was killed as a whole; and
- * a failure domain that is cut off from the others learns there what ended at them, since its next end brings its daemon there.
+ * Stores crashes and verdicts in the platform's table, so that they survive a restart of the whole fleet. A
+ * failure domain that is partitioned from the others also learns of their crashes there, since a daemon reads
+ * the table after each crash of its upstream.
  */
 import { type Clock, type Random, type Timer } from '@cleatquay/clock';
 import { asFailure } from '@cleatquay/errors';
@@ -8,35 +9,41 @@
 import { type Crash } from './evidence.js';
 import { type Verdict } from './verdicts.js';
 
-/** Requests wait so long from the start of the daemon for the first rows, ms: some ten times what they take on a calm platform. */
+/** Longest wait of requests for the first read after a daemon's start, about ten times the usual duration. */
 const MAX_LOAD_WAIT_MS = 500;
-/** A daemon that sees an end waits so long for what others have seen before it tells its callers, ms. */
+/**
+ * Longest wait for the other daemons' crashes before a daemon responds to the callers of a crashed upstream.
+ */
 const MAX_READ_WAIT_MS = 100;
 /**
- * Most of what ran beside a request that ends its upstream has ended well elsewhere after about so long, ms, and need not be written. A half more
- * or less by chance: upstreams of a service that end together would all have the row written at one moment.
+ * After this delay, most requests that were in flight at a crash have completed elsewhere and need not be
+ * stored. Randomised by ±50 %, since upstreams of a service that crash together would all cause writes of the
+ * same row at once.
  */
 const WRITE_DELAY_MS = 1000;
 const REWRITE_DELAY_MS = 2000;
-/** Pause after a write that failed, ms: an outage of the platform is nothing to ask about. */
+/** Pause after a failed write, which spares a platform that is down. */
 const WRITE_RETRY_DELAY_MS = 5000;
 const MAX_WRITE_ATTEMPTS = 3;
-/** Ends of a row, at most; the oldest make room. With 64 requests each they take less than half of the 64 KiB that a row may have. */
+/**
+ * Most crashes in a row; the oldest are removed. With 64 requests each they take less than half of the row's 64
+ * KiB.
+ */
 const MAX_RECORDED_CRASHES = 20;
-/** How long an end is kept in a row, ms by the time of day of whoever writes. */
+/** How long a crash is kept in a row, by the writer's wall clock. */
 const RETENTION_MS = 3_600_000;
 
-/** What a keeper needs of its daemon. */
+/** Dependencies of the persistence. */
 export interface QuarantinePersistenceOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly table: QuarantineTable;
-  /** Service of the upstream beside this daemon, whose row it writes. */
+  /** Service of the local upstream, whose row is written. */
   readonly service: string;
-  /** What this daemon knows now of an end. */
+  /** What this daemon knows of a crash. */
   readonly crashOf: (start: string) => Crash | undefined;
   readonly verdicts: () => readonly Verdict[];
-  /** Told what a row holds. */
+  /** Called with the contents of each row. */
   readonly onRow: (row: QuarantineRow) => void;
   readonly log: (message: string, facts: object) => void;
 }
@@ -49,7 +56,7 @@
   private version = 0;
   private writeTimer: Timer | undefined;
   private lastWrite: Promise<void> = Promise.resolve();
-  /** Resolves once the rows were read, or when requests need not wait for that any more; then it is undefined. */
+  /** Resolves when the rows are loaded or the maximum wait is over; undefined from then on. */
   loaded: Promise<void> | undefined;
 
   constructor(private readonly options: QuarantinePersistenceOptions) {}
@@ -68,7 +75,7 @@
     });
   }
 
-  /** An upstream beside this daemon ended: resolves when what others have written is known, or doesn't come soon. */
+  /** Handles a crash of the local upstream. Resolves when the rows are loaded or the maximum wait is over. */
   async recordCrash(start: string): Promise<void> {
     const { clock } = this.options;
     this.ownStarts.add(start);
@@ -78,24 +85,24 @@
     await Promise.race([this.read(), clock.sleep(MAX_READ_WAIT_MS, this.stopped.signal)]);
   }
 
-  /** What was written of these starts is no longer so. */
+  /** Schedules a write if the suspects of a crash of the local upstream changed. */
   onChange(starts: readonly string[]): void {
     if (starts.some(start => this.ownStarts.has(start))) this.scheduleWrite(REWRITE_DELAY_MS);
   }
 
-  /** Writes now, so that a verdict outlasts this process. Fails if it can't be written. */
+  /** Writes now, so that a verdict outlives this process. Rejects if the write fails. */
   write(): Promise<void> {
     this.writeTimer?.[Symbol.dispose]();
     this.writeTimer = undefined;
     const written = this.lastWrite.then(() => this.writeRow());
     this.lastWrite = written.catch((error: unknown) => {
-      this.logFailure('The record was not written; it is tried again.', error);
+      this.logFailure('The row could not be written and will be retried.', error);
       this.scheduleWrite(WRITE_RETRY_DELAY_MS);
     });
     return written;
   }
 
-  /** Whether this daemon saw one of these ends. */
+  /** Whether one of these crashes was one of the local upstream. */
   sawAnyOf(starts: readonly string[]): boolean {
     return starts.some(start => this.ownStarts.has(start));
   }
@@ -110,7 +117,7 @@
     try {
       this.apply(await this.options.table.list(this.stopped.signal));
     } catch (error) {
-      this.logFailure('The record was not read.', error);
+      this.logFailure('The rows could not be read.', error);
     }
   }
 
@@ -129,7 +136,7 @@
     this.writeTimer ??= clock.after(ms * (0.5 + random()), () => void this.write().catch(() => undefined));
   }
 
-  /** In place of the version that is known; where there is another one, what it holds is taken over first. */
+  /** Writes over the known version; if there is another one, merges its contents first. */
   private async writeRow(): Promise<void> {
     const { table, service, onRow } = this.options;
     for (let left = MAX_WRITE_ATTEMPTS; left > 0; left--) {
@@ -141,16 +148,16 @@
       this.rememberTimes(found);
       if (found && coversRow(found, row)) return;
     }
-    throw new Error('The row changes all the time.');
+    throw new Error('Other daemons changed the row during each attempt to write it.');
   }
 
   private buildRow(): QuarantineRow {
-    const { crashOf: endOf, verdicts, clock } = this.options;
+    const { crashOf, verdicts, clock } = this.options;
     const now = clock.date().getTime();
     const ends = [...new Set([...this.recordedAt.keys(), ...this.ownStarts])]
-      .flatMap(start => endOf(start) ?? [])
+      .flatMap(start => crashOf(start) ?? [])
       .filter(({ fingerprints }) => fingerprints.length > 0)
-      .map(end => ({ ...end, at: this.recordedAt.get(end.start) ?? now }))
+      .map(crash => ({ ...crash, at: this.recordedAt.get(crash.start) ?? now }))
       .filter(({ at }) => Math.abs(now - at) < RETENTION_MS)
       .sort((a, b) => a.at - b.at)
       .slice(-MAX_RECORDED_CRASHES);
@@ -167,7 +174,7 @@
   }
 }
 
-/** Whether a row that somebody else wrote leaves out nothing of ours. */
+/** Whether another daemon's row contains everything that ours would. */
 function coversRow(found: QuarantineRow, { ends, verdicts }: QuarantineRow): boolean {
   const starts = new Set(found.ends.map(({ start }) => start));
   const revisions = new Map(found.verdicts.map(({ fingerprint, revision }) => [fingerprint, revision]));
--- a/packages/quarantine/src/verdicts.ts
+++ b/packages/quarantine/src/verdicts.ts
@@ -1,29 +1,29 @@
 /**
- * Which requests are held back. Each is held or released under a number that rises with every change of it, and the highest counts, so that
- * all daemons come to the same whatever they hear first.
+ * Decisions to quarantine or release requests. Each change increments the request's revision, and the highest
+ * revision wins, so that all daemons converge in whatever order they receive the changes.
  */
 import { crc32 } from 'node:zlib';
 
 /**
- * Verdicts that are kept: each takes several ends of upstreams, so that nobody fills the memory with names. They take up to half of the 64 KiB of a
- * row.
+ * Each verdict takes several crashes, so that no caller can fill the memory with names. The verdicts take up to
+ * half of the row's 64 KiB.
  */
 const MAX_VERDICTS = 120;
 
-/** What is known of one request. */
+/** The decision on one request. */
 export interface Verdict {
   readonly fingerprint: string;
-  /** Odd while it is held back, even once it is released. */
+  /** Odd while the request is quarantined, even after it was released. */
   readonly revision: number;
-  /** Starts of upstreams that ended under it. */
+  /** Process starts of upstreams that crashed with the request in flight. */
   readonly starts: readonly string[];
-  /** When it was held or released, Unix ms. */
+  /** When it was quarantined or released, Unix ms. */
   readonly since: number;
-  /** What it asks, as far as it is known: method and path, for people. */
+  /** Method and path for display, if known. */
   readonly asks: string;
 }
 
-/** Whether the request is held back. */
+/** Whether the request is quarantined. */
 export function isQuarantined({ revision }: Pick<Verdict, 'revision'>): boolean {
   return revision % 2 === 1;
 }
@@ -31,15 +31,15 @@
 /** Verdicts by fingerprint. */
 export class Verdicts {
   private readonly byFingerprint = new Map<string, Verdict>();
-  private digestBits = 0;
+  private xorDigest = 0;
   private quarantined = 0;
 
-  /** The same for two daemons that know the same; 0 for nothing. */
+  /** Equal for daemons with the same verdicts; 0 for none. */
   get digest(): number {
-    return this.digestBits;
+    return this.xorDigest;
   }
 
-  /** Requests that are held back. */
+  /** Number of quarantined requests. */
   get quarantinedCount(): number {
     return this.quarantined;
   }
@@ -62,7 +62,7 @@
     return verdict !== undefined && !isQuarantined(verdict);
   }
 
-  /** Takes a verdict if it is newer than what is known. Says whether it was. */
+  /** Stores a verdict if its revision is newer; returns whether it was. */
   put(verdict: Verdict): boolean {
     const known = this.byFingerprint.get(verdict.fingerprint);
     if (known && known.revision >= verdict.revision) return this.addDescription(known, verdict);
@@ -75,18 +75,21 @@
     return true;
   }
 
-  /** Forgets a request that was released: the same at all daemons, as they know the same. */
+  /**
+   * Evicts a released request. The choice is deterministic, so daemons with the same verdicts evict the same
+   * one.
+   */
   private evictReleased(): boolean {
     const released = this.all
       .filter(verdict => !isQuarantined(verdict))
       .map(({ fingerprint }) => fingerprint);
-    const [first] = released.sort();
-    if (first === undefined) return false;
-    this.toggleInDigest(this.byFingerprint.get(first));
-    return this.byFingerprint.delete(first);
+    const [evicted] = released.sort();
+    if (evicted === undefined) return false;
+    this.toggleInDigest(this.byFingerprint.get(evicted));
+    return this.byFingerprint.delete(evicted);
   }
 
-  /** A verdict that was heard from another daemon doesn't say what its request asks; the record does. */
+  /** Verdicts received from another daemon may lack method and path; the stored rows have them. */
   private addDescription(known: Verdict, { revision, asks }: Verdict): false {
     if (known.revision === revision && known.asks === '')
       this.byFingerprint.set(known.fingerprint, { ...known, asks });
@@ -95,6 +98,6 @@
 
   private toggleInDigest(verdict: Verdict | undefined): void {
     if (verdict)
-      this.digestBits = (this.digestBits ^ crc32(`${verdict.fingerprint} ${String(verdict.revision)}`)) >>> 0;
+      this.xorDigest = (this.xorDigest ^ crc32(`${verdict.fingerprint} ${String(verdict.revision)}`)) >>> 0;
   }
 }
--- a/tests/quarantine.spec.ts
+++ b/tests/quarantine.spec.ts
@@ -188,9 +188,7 @@
           for (const { isClearing, start: at, fingerprint } of list)
             if (isClearing) evidence.clear(fingerprint, [at]);
             else evidence.add(at, [fingerprint]);
-          return [DEADLY, HARMLESS, ...OTHERS].map(fingerprint =>
-            evidence.startsCrashedUnder(fingerprint).sort(),
-          );
+          return [DEADLY, HARMLESS, ...OTHERS].map(fingerprint => evidence.crashedUnder(fingerprint).sort());
         };
         const repeated = again.flatMap(i => words[i] ?? []);
         expect(outcome([...words, ...repeated].reverse())).to.deep.equal(outcome(words));
