--- a/packages/organisations/src/quotas.ts
+++ b/packages/organisations/src/quotas.ts
@@ -46,8 +46,8 @@
    * be partitioned; undefined while unknown.
    */
   readonly sharers: () => number | undefined;
-  readonly ask: (to: string, question: QuotaQuestion) => void;
-  readonly answer: (to: string, answer: QuotaAnswer) => void;
+  readonly ask: (to: string, request: QuotaQuestion) => void;
+  readonly answer: (to: string, response: QuotaAnswer) => void;
 }
 
 interface PendingRequest {
@@ -143,33 +143,33 @@
   }
 
   /** Handles a quota request of another daemon. */
-  heardQuestion(question: QuotaQuestion, from: string): void {
-    if (question.shard >= SHARD_COUNT) return;
-    this.options.answer(from, this.coordinator.handleRequest(question, from));
-    if (question.isTransfer) return;
+  heardQuestion(request: QuotaQuestion, from: string): void {
+    if (request.shard >= SHARD_COUNT) return;
+    this.options.answer(from, this.coordinator.handleRequest(request, from));
+    if (request.isTransfer) return;
     const now = this.options.clock.now();
-    for (const { organisation } of question.asks) {
+    for (const { organisation } of request.asks) {
       const quota = this.quotas.get(organisation);
       if (quota) this.requestTransfers(organisation, quota, now);
     }
   }
 
   /** Handles a coordinator's response. */
-  heardAnswer(answer: QuotaAnswer, from: string): void {
+  heardAnswer(response: QuotaAnswer, from: string): void {
     const now = this.options.clock.now();
-    const request = this.pending.get(answer.number);
-    this.pending.delete(answer.number);
+    const request = this.pending.get(response.number);
+    this.pending.delete(response.number);
     if (request?.to !== from || now - request.sentAt > MAX_RESPONSE_AGE_MS) return;
     this.directory.recordResponse(from, now);
-    for (const grant of answer.grants) {
+    for (const grant of response.grants) {
       const requests = request.requests.get(grant.organisation);
       if (requests === undefined) continue;
       if (request.isTransfer)
         this.coordinator.transferIn(grant.organisation, Math.min(grant.requests, requests));
       else this.applyGrant(request.shard, grant, requests, now);
     }
-    if (!request.isTransfer && answer.offer)
-      this.shards[request.shard]?.lessor.recordOffer(from, answer.offer, now);
+    if (!request.isTransfer && response.offer)
+      this.shards[request.shard]?.lessor.recordOffer(from, response.offer, now);
   }
 
   [Symbol.dispose](): void {
@@ -294,8 +294,8 @@
     const requests = shard.queue.takeUnrequested(now - RESEND_AFTER_MS, now);
     if (requests.size === 0 && now - shard.lastSentAt < LEASE_RENEWAL_MS) return;
     shard.lastSentAt = now;
-    const sharers = this.options.sharers();
-    const loan = sharers === undefined ? undefined : shard.lessor.leaseTo(to, 1 / sharers, now);
+    const shareCount = this.options.sharers();
+    const loan = shareCount === undefined ? undefined : shard.lessor.leaseTo(to, 1 / shareCount, now);
     this.send({ to, sentAt: now, shard: index, requests, isTransfer: false }, loan);
   }
 
@@ -308,8 +308,8 @@
   }
 
   private leaseToSelf(index: number, now: number): void {
-    const { self, sharers } = this.options;
-    const count = sharers();
+    const { self, sharers: countShares } = this.options;
+    const count = countShares();
     if (count === undefined || !this.shardAt(index).lessor.lease(self, now, now)) return;
     this.coordinator.acceptLease(index, self, 1 / count, this.options.now() + LEASE_MS);
   }
