--- a/packages/organisations/src/quotaHolder.ts
+++ b/packages/organisations/src/quotaHolder.ts
@@ -49,7 +49,8 @@
   /** Handles a request of another daemon, identified by its gossip address. */
   handleRequest({ number, shard, asks, loan, isTransfer }: QuotaQuestion, from: string): QuotaAnswer {
     const { now, epoch, isInSameDomain } = this.options;
-    if (loan?.epoch === epoch() && isInSameDomain(from)) this.acceptLease(shard, from, loan.share, loan.until);
+    if (loan?.epoch === epoch() && isInSameDomain(from))
+      this.acceptLease(shard, from, loan.share, loan.until);
     const grants = asks.map(ask => this.grantFor(ask, isTransfer));
     const offer: ShareLoan = { epoch: epoch(), until: now() + LEASE_MS, share: 0 };
     return { number, shard, grants, offer };
--- a/tests/organisationFile.spec.ts
+++ b/tests/organisationFile.spec.ts
@@ -21,22 +21,22 @@
   return { ...file, ...change };
 }
 
-describe("organisations in the operators' file", () => {
-  it('travel in sections of their own, and come together again', () => {
+describe('organisations in the operator file', () => {
+  it('are split into sections of their own and joined again', () => {
     const file = checkOperatorFile(fileWith({ organisations }));
     const sections = splitSections(file);
     expect([...sections.keys()]).to.include.members(['organisation:dairy', 'organisation:pharmacy']);
     expect(joinSections(sections)).to.deep.equal(file);
   });
 
-  it('may be none, which is told apart from no list', () => {
-    const none = joinSections(splitSections(checkOperatorFile(fileWith({ organisations: {} }))));
-    expect(new CallGraph(none).keyring?.organisations).to.deep.equal([]);
-    const noList = joinSections(splitSections(checkOperatorFile(fileWith({}))));
-    expect(new CallGraph(noList).keyring).to.equal(undefined);
+  it('distinguish an empty list from a missing one', () => {
+    const emptyList = joinSections(splitSections(checkOperatorFile(fileWith({ organisations: {} }))));
+    expect(new CallGraph(emptyList).keyring?.organisations).to.deep.equal([]);
+    const withoutList = joinSections(splitSections(checkOperatorFile(fileWith({}))));
+    expect(new CallGraph(withoutList).keyring).to.equal(undefined);
   });
 
-  it('go before the class of the route by their rank', () => {
+  it("determine a request's priority before its route does", () => {
     const graph = new CallGraph(checkOperatorFile(fileWith({ organisations })));
     const confirm = graph.get('receiving.confirm')!;
     const read = graph.get('history.read')!;
@@ -50,20 +50,20 @@
 
   const refused: Record<string, object> = {
     'a key in place of its digest': { dairy: { keyDigests: ['plain-key'] } },
-    'two that share a key': { ...organisations, other: organisations.dairy },
-    'a quota of nothing': { dairy: { keyDigests: [], quota: { perSecond: 0 } } },
+    'a key shared by two organisations': { ...organisations, other: organisations.dairy },
+    'a quota of zero': { dairy: { keyDigests: [], quota: { perSecond: 0 } } },
     'a negative burst': { dairy: { keyDigests: [], quota: { perSecond: 1, burst: -1 } } },
     'a name with a space': { 'two words': { keyDigests: [] } },
   };
-  for (const [what, declared] of Object.entries(refused)) {
-    it(`are refused for ${what}`, () => {
+  for (const [defect, declared] of Object.entries(refused)) {
+    it(`are refused for ${defect}`, () => {
       expect(() => checkOperatorFile(fileWith({ organisations: declared })))
         .to.throw()
         .with.property('result', 'configurationInvalid');
     });
   }
 
-  it('are named to upstreams, and only where there is one', () => {
+  it('are passed to upstreams by name, and without a header if there is none', () => {
     const headers = (organisation: string) =>
       ownDialect.requestHeaders({ ...CALL_CONTEXT, organisation }, '');
     expect(headers('dairy')).to.include.members(['cleatquay-organisation', 'dairy']);
@@ -86,27 +86,29 @@
 
     after(() => fleet[Symbol.asyncDispose]());
 
-    const ask = async (node: number, key?: string) => {
+    const requestStatus = async (node: number, key?: string) => {
       const headers: Record<string, string> = key === undefined ? {} : { authorization: `Bearer ${key}` };
-      const answer = await fetch(`${fleet.callerUrls[node]!}${PATH}`, { headers });
-      await answer.arrayBuffer();
-      return answer.status;
+      const response = await fetch(`${fleet.callerUrls[node]!}${PATH}`, { headers });
+      await response.arrayBuffer();
+      return response.status;
     };
 
-    it('let in whoever bears a key, and nobody else', async () => {
-      expect(await ask(0, 'pharmacy-key')).to.equal(200);
-      expect(await ask(1, 'pharmacy-key')).to.equal(200);
-      expect(await ask(0)).to.equal(401);
-      expect(await ask(1, 'nobody')).to.equal(401);
+    it('accept requests with a known key only', async () => {
+      expect(await requestStatus(0, 'pharmacy-key')).to.equal(200);
+      expect(await requestStatus(1, 'pharmacy-key')).to.equal(200);
+      expect(await requestStatus(0)).to.equal(401);
+      expect(await requestStatus(1, 'nobody')).to.equal(401);
     });
 
-    it('are bound by their quotas over the fleet', async () => {
+    it('are limited by their quotas across the fleet', async () => {
       const until = performance.now() + 10_000;
-      while ((await ask(0, DAIRY_KEY)) !== 200) expect(performance.now()).to.be.below(until);
-      const statuses = await Promise.all(Array.from({ length: 150 }, (_, i) => ask(i % 2, DAIRY_KEY)));
+      while ((await requestStatus(0, DAIRY_KEY)) !== 200) expect(performance.now()).to.be.below(until);
+      const statuses = await Promise.all(
+        Array.from({ length: 150 }, (_, i) => requestStatus(i % 2, DAIRY_KEY)),
+      );
       expect(statuses).to.include(429);
       expect(statuses.filter(status => status === 200).length).to.be.within(1, 80);
-      expect(await ask(0, 'pharmacy-key')).to.equal(200);
+      expect(await requestStatus(0, 'pharmacy-key')).to.equal(200);
     });
   });
 });
--- a/tests/organisationOperators.spec.ts
+++ b/tests/organisationOperators.spec.ts
@@ -6,7 +6,7 @@
 const CLI = 'packages/cli/bin/cleatquay.js';
 const BEARER = { Authorization: 'Bearer dairy-key' };
 
-describe('an operator who is asked about an organisation', () => {
+describe('operator commands about an organisation', () => {
   let fleet: PlatformFleet;
 
   before(async () => {
@@ -27,7 +27,7 @@
       );
     });
 
-  it('sees what it sent to all daemons, got, and was refused', async () => {
+  it('show its requests to all daemons by outcome', async () => {
     const out = await cleatquay('organisations');
     const [, sent, answered, over] = /^dairy +(\d+) +(\d+) +(\d+)/m.exec(out) ?? [];
     expect(Number(answered)).to.be.at.least(1);
@@ -38,13 +38,13 @@
       .and.to.not.match(/^other/m);
   });
 
-  it('finds in the explanation of a request whose it was, its quota, and how old the proof of its key was', async () => {
+  it('explain a request with its organisation, quota and the age of the freshness proof', async () => {
     const out = await cleatquay('explain', 'over');
     expect(out).to.contain('dairy').and.to.contain('perSecond').and.to.contain('proofAgeMs');
     expect(out).to.not.contain('dairy-key');
   });
 
-  it('makes a key that is shown once, with the digest by which daemons know it', async () => {
+  it('generate a new key and print it with its digest', async () => {
     const out = await cleatquay('new-key');
     const key = /^key +(\S+)$/m.exec(out)?.[1] ?? '';
     expect(key).to.have.lengthOf(32);
--- a/tests/organisations.spec.ts
+++ b/tests/organisations.spec.ts
@@ -17,10 +17,10 @@
 const TWO_MICROSECONDS_MS = 0.002;
 const KEYS = [...DAIRY.apiKeys, ...PHARMACY.apiKeys];
 
-const bearing = (key: string) => ({ Authorization: `Bearer ${key}` });
+const bearer = (key: string) => ({ Authorization: `Bearer ${key}` });
 
 describe('organisations', () => {
-  describe('whose a request is', () => {
+  describe('identification of requests', () => {
     let fleet: PlatformFleet;
 
     before(async () => {
@@ -35,10 +35,10 @@
 
     after(() => fleet[Symbol.asyncDispose]());
 
-    it('is told to the upstream by name, whatever the caller wrote, and never by key', async () => {
+    it('passes the name to the upstream, whatever the caller sent, and never the key', async () => {
       for (const node of fleet.nodes.keys()) {
         const id = `named-${String(node)}`;
-        const headers = { ...bearing('pharmacy-key'), 'Tenant-Id': 'dairy', 'X-Kept': 'as it is' };
+        const headers = { ...bearer('pharmacy-key'), 'Tenant-Id': 'dairy', 'X-Kept': 'as it is' };
         expect((await fleet.ask(node, { id, headers })).status).to.equal(200);
         const [arrival] = fleet.arrivals(id);
         expect(arrival?.headers['tenant-id']).to.equal('pharmacy');
@@ -47,86 +47,86 @@
       }
     });
 
-    it('is found by each of its keys', async () => {
+    it('accepts each key of an organisation', async () => {
       for (const key of DAIRY.apiKeys) {
         const id = `by-${key}`;
-        await fleet.ask(0, { id, headers: bearing(key) });
+        await fleet.ask(0, { id, headers: bearer(key) });
         expect(fleet.arrivals(id)[0]?.headers['tenant-id']).to.equal('dairy');
       }
     });
 
-    it('stays the same when it is sent again to another upstream', async () => {
+    it('is the same for an attempt on another upstream', async () => {
       for (const { upstream } of fleet.nodes.slice(0, 2))
         upstream.behaviour.fault = id =>
           id === 'again' && fleet.arrivals(id).length === 1 ? 'shed' : 'none';
-      const answer = await fleet.ask(2, { id: 'again', headers: bearing('pharmacy-key') });
-      expect(answer.status).to.equal(200);
+      const response = await fleet.ask(2, { id: 'again', headers: bearer('pharmacy-key') });
+      expect(response.status).to.equal(200);
       const names = fleet.arrivals('again').map(({ headers }) => headers['tenant-id']);
       expect(names).to.deep.equal(['pharmacy', 'pharmacy']);
     });
 
-    it('is nobody on a public route without a key; one that is shown there has to be good, too, and goes no further', async () => {
+    it('is optional on a public route; a key that is sent there must be valid, and is not forwarded', async () => {
       const ask = (id: string, headers: Record<string, string>) =>
         fleet.ask(0, { host: 'open.example', id, headers });
       expect((await ask('open-1', { 'Tenant-Id': 'dairy' })).status).to.equal(200);
       expect(fleet.arrivals('open-1')[0]?.headers['tenant-id']).to.equal(undefined);
-      expect((await ask('open-2', bearing('dairy-key-1'))).status).to.equal(200);
+      expect((await ask('open-2', bearer('dairy-key-1'))).status).to.equal(200);
       expect(fleet.arrivals('open-2')[0]?.headers.authorization).to.equal(undefined);
       expect(fleet.arrivals('open-2')[0]?.headers['tenant-id']).to.equal('dairy');
-      expect((await ask('open-3', bearing('nobody'))).status).to.equal(401);
+      expect((await ask('open-3', bearer('nobody'))).status).to.equal(401);
       expect(fleet.arrivals('open-3')).to.have.lengthOf(0);
     });
 
-    it('is not told of the calls that its upstream makes for it: they bear no key', async () => {
+    it('does not apply to the calls of an upstream, which have no key', async () => {
       for (const { upstream } of fleet.nodes.slice(0, 2))
         upstream.behaviour.calls = [{ host: 'alarms.example', path: '/c' }];
       const before = fleet.nodes[2]!.upstream.arrivals.length;
-      const answer = await fleet.ask(0, { id: 'deep', headers: bearing('dairy-key-1') });
+      const response = await fleet.ask(0, { id: 'deep', headers: bearer('dairy-key-1') });
       for (const { upstream } of fleet.nodes.slice(0, 2)) upstream.behaviour.calls = [];
-      expect(answer.status).to.equal(200);
+      expect(response.status).to.equal(200);
       const calls = fleet.nodes[2]!.upstream.arrivals.slice(before);
       expect(calls.map(({ headers }) => headers['tenant-id'])).to.deep.equal([undefined]);
     });
 
     const refused: Record<string, { headers: Record<string, string | string[]>; code: number }> = {
       'no key': { headers: {}, code: 1015 },
-      'an unknown key': { headers: bearing('nobody'), code: 1016 },
+      'an unknown key': { headers: bearer('nobody'), code: 1016 },
       'another scheme': { headers: { Authorization: 'Basic ZGFpcnk6' }, code: 1015 },
       'no text after the scheme': { headers: { Authorization: 'Bearer ' }, code: 1015 },
       'two words': { headers: { Authorization: 'Bearer dairy-key-1 dairy-key-2' }, code: 1015 },
       'two headers': { headers: { Authorization: ['Bearer dairy-key-1', 'Bearer dairy-key-1'] }, code: 1015 },
-      'a key of 8,000 characters': { headers: bearing('k'.repeat(8000)), code: 1015 },
+      'a key of 8,000 characters': { headers: bearer('k'.repeat(8000)), code: 1015 },
     };
-    for (const [what, { headers, code }] of Object.entries(refused)) {
-      it(`is not known from ${what}: it is refused by number and reaches no upstream`, async () => {
-        const answer = await fleet.ask(0, { id: what, headers: headers as Record<string, string> });
-        expect(answer.status).to.equal(401);
-        expect(answer.text).to.contain(`"code":${String(code)}`);
-        expect(fleet.arrivals(what)).to.have.lengthOf(0);
+    for (const [defect, { headers, code }] of Object.entries(refused)) {
+      it(`refuses ${defect} with a result code before the request reaches an upstream`, async () => {
+        const response = await fleet.ask(0, { id: defect, headers: headers as Record<string, string> });
+        expect(response.status).to.equal(401);
+        expect(response.text).to.contain(`"code":${String(code)}`);
+        expect(fleet.arrivals(defect)).to.have.lengthOf(0);
       });
     }
 
-    it('is found from no log line, dump or record of a peer that holds a key', async () => {
-      for (const key of KEYS) await fleet.ask(0, { headers: bearing(key) });
-      await fleet.ask(0, { headers: bearing('nobody-knows-this') });
+    it('leaves no key in log lines, dumps and metrics', async () => {
+      for (const key of KEYS) await fleet.ask(0, { headers: bearer(key) });
+      await fleet.ask(0, { headers: bearer('nobody-knows-this') });
       const { daemon } = fleet.nodes[0]!;
       const dump = await (await fetch(`http://${daemon.membership.me.operatorAddress}/dump`)).text();
       const metrics = await (await fetch(`http://${daemon.membership.me.operatorAddress}/metrics`)).text();
-      const everything = JSON.stringify(fleet.logged) + dump + metrics;
-      for (const key of [...KEYS, 'nobody-knows-this']) expect(everything).to.not.contain(key);
+      const exposed = JSON.stringify(fleet.logged) + dump + metrics;
+      for (const key of [...KEYS, 'nobody-knows-this']) expect(exposed).to.not.contain(key);
     });
   });
 
-  describe('a daemon that knows no configuration yet', () => {
-    it('says when to come back, and not that the key is unknown', async () => {
+  describe('a daemon without a configuration', () => {
+    it('refuses requests with a retry time, not as unauthenticated', async () => {
       await using fleet = await PlatformFleet.start([{ service: 'history' }], undefined);
-      const answer = await fleet.ask(0, { headers: bearing('dairy-key-1') });
-      expect(answer.status).to.equal(503);
-      expect(Number(answer.headers['retry-after'])).to.be.greaterThan(0);
+      const response = await fleet.ask(0, { headers: bearer('dairy-key-1') });
+      expect(response.status).to.equal(503);
+      expect(Number(response.headers['retry-after'])).to.be.greaterThan(0);
     });
   });
 
-  describe('a new version', () => {
+  describe('a new configuration version', () => {
     let fleet: PlatformFleet;
 
     beforeEach(async () => {
@@ -139,40 +139,40 @@
       fleet.store.put('op', 'config', configurationText(version, [routeTo('history')], organisations));
       await until(() => fleet.nodes.every(({ daemon }) => daemon.configuration.generation === version));
     };
-    const statusWith = async (key: string) => (await fleet.ask(0, { headers: bearing(key) })).status;
+    const statusWith = async (key: string) => (await fleet.ask(0, { headers: bearer(key) })).status;
 
-    it('gives keys and takes them away', async () => {
+    it('adds and revokes keys', async () => {
       await apply(2, [{ name: 'dairy', apiKeys: ['dairy-key-2', 'dairy-key-3'] }]);
       expect(await statusWith('dairy-key-1')).to.equal(401);
       expect(await statusWith('dairy-key-2')).to.equal(200);
       expect(await statusWith('dairy-key-3')).to.equal(200);
     });
 
-    it('with no organisation in its list leaves no key that is known', async () => {
+    it('with an empty list of organisations revokes all keys', async () => {
       await apply(2, []);
       expect(await statusWith('dairy-key-1')).to.equal(401);
     });
 
-    it('without a list needs no keys, and those that callers go on sending go no further', async () => {
+    it('without a list requires no keys, and still strips those that callers send', async () => {
       await apply(2, undefined);
-      const answer = await fleet.ask(0, { id: 'after', headers: bearing('dairy-key-1') });
-      expect(answer.status).to.equal(200);
+      const response = await fleet.ask(0, { id: 'after', headers: bearer('dairy-key-1') });
+      expect(response.status).to.equal(200);
       expect(fleet.arrivals('after')[0]?.headers.authorization).to.equal(undefined);
     });
   });
 
   describe('a quota', () => {
-    it('bounds what runs of its organisation on all daemons together; the rest is told at once when to come back, and others go on', async () => {
+    it('limits an organisation across all daemons; other requests are refused at once with a retry time, and other organisations are not affected', async () => {
       const vms = ['z1', 'z1', 'z2'].map(failureDomain => ({ service: 'history', failureDomain }));
       const bounded = { ...DAIRY, ratePerS: 10, burst: 6 };
       await using fleet = await PlatformFleet.start(vms, [routeTo('history')], [bounded, PHARMACY]);
-      const ask = (i: number, key: string) => fleet.ask(i % 3, { headers: bearing(key) });
+      const ask = (i: number, key: string) => fleet.ask(i % 3, { headers: bearer(key) });
       await until(async () => (await ask(0, 'dairy-key-1')).status === 200);
       const startedAt = performance.now();
-      const answers = await Promise.all(Array.from({ length: 120 }, (_, i) => ask(i, 'dairy-key-1')));
+      const responses = await Promise.all(Array.from({ length: 120 }, (_, i) => ask(i, 'dairy-key-1')));
       const seconds = (performance.now() - startedAt) / 1000;
-      const served = answers.filter(({ status }) => status === 200).length;
-      const refused = answers.filter(({ status }) => status === 429);
+      const served = responses.filter(({ status }) => status === 200).length;
+      const refused = responses.filter(({ status }) => status === 429);
       expect(served + refused.length).to.equal(120);
       expect(served).to.be.within(1, 6 + 10 * (seconds + 0.5));
       for (const { headers, text } of refused) {
@@ -183,7 +183,7 @@
       expect(others.every(({ status }) => status === 200)).to.equal(true);
     });
 
-    it('is not used up by requests that run nowhere', async () => {
+    it('is not consumed by requests that no upstream runs', async () => {
       const bounded = { ...DAIRY, ratePerS: 2, burst: 1 };
       await using fleet = await PlatformFleet.start(
         [{ service: 'history' }],
@@ -191,26 +191,26 @@
         [bounded],
       );
       const { upstream } = fleet.nodes[0]!;
-      await until(async () => (await fleet.ask(0, { headers: bearing('dairy-key-1') })).status === 200);
-      await until(async () => (await fleet.ask(0, { headers: bearing('dairy-key-1') })).status === 429);
+      await until(async () => (await fleet.ask(0, { headers: bearer('dairy-key-1') })).status === 200);
+      await until(async () => (await fleet.ask(0, { headers: bearer('dairy-key-1') })).status === 429);
       await sleep(600);
       upstream.behaviour.fault = () => 'shed';
       const statuses: number[] = [];
       for (let i = 0; i < 8; i++)
-        statuses.push((await fleet.ask(0, { headers: bearing('dairy-key-1') })).status);
+        statuses.push((await fleet.ask(0, { headers: bearer('dairy-key-1') })).status);
       expect(statuses.filter(status => status === 503).length).to.be.greaterThan(3);
     });
   });
 
   describe('a deployment without organisations', () => {
-    it('passes the header on as it came', async () => {
+    it('forwards the authorization header unchanged', async () => {
       await using fleet = await PlatformFleet.start([{ service: 'history' }], [routeTo('history')]);
-      await fleet.ask(0, { id: 'plain', headers: bearing('of the upstream') });
+      await fleet.ask(0, { id: 'plain', headers: bearer('of the upstream') });
       expect(fleet.arrivals('plain')[0]?.headers.authorization).to.equal('Bearer of the upstream');
     });
   });
 
-  describe('a configuration that makes no sense', () => {
+  describe('an invalid configuration', () => {
     const decoding = (organisations: readonly object[]) => () =>
       decodeConfiguration(
         configurationText(3, [routeTo('history')], organisations as unknown as WrittenOrganisation[]),
@@ -219,14 +219,14 @@
       'two organisations that share a key': [DAIRY, { name: 'other', apiKeys: ['dairy-key-2'] }],
       'two organisations of one name': [DAIRY, { name: 'dairy', apiKeys: ['x'] }],
       'an empty key': [{ name: 'dairy', apiKeys: ['dairy-key-1', ''] }],
-      'keys that are no list': [{ name: 'dairy', apiKeys: 'dairy-key-1' }],
-      'a key that is no text': [{ name: 'dairy', apiKeys: [{ secret: 'dairy-key-1' }] }],
+      'keys that are not a list': [{ name: 'dairy', apiKeys: 'dairy-key-1' }],
+      'a key that is not a string': [{ name: 'dairy', apiKeys: [{ secret: 'dairy-key-1' }] }],
       'a negative rate': [{ ...DAIRY, ratePerS: -1 }],
       'a name of more than 200 bytes': [{ ...DAIRY, name: 'n'.repeat(201) }],
       'no name': [{ apiKeys: ['dairy-key-1'] }],
     };
-    for (const [what, organisations] of Object.entries(refused)) {
-      it(`is refused whole for ${what}, by number and without showing a key`, () => {
+    for (const [defect, organisations] of Object.entries(refused)) {
+      it(`is rejected as a whole for ${defect}, with a result code and without exposing a key`, () => {
         expect(decoding(organisations)).to.throw().with.property('result', 'configurationInvalid');
         try {
           decoding(organisations)();
@@ -236,7 +236,7 @@
       });
     }
 
-    it('is told apart from what is merely left out: no quota is no limit, and a burst alone bounds nothing', () => {
+    it('is distinguished from optional values: without a rate there is no limit, even with a burst', () => {
       const { sections } = decodeConfiguration(
         configurationText(
           3,
@@ -251,7 +251,7 @@
       expect(quotas).to.deep.equal([undefined, undefined]);
     });
 
-    it('never holds a key in what is spread to peers', () => {
+    it('has no key in the content that is distributed to peers', () => {
       const { sections } = decodeConfiguration(configurationText(3, [routeTo('history')], [DAIRY]));
       for (const content of sections.values()) expect(content).to.not.contain('dairy-key');
     });
@@ -263,7 +263,7 @@
       return { name: `o${String(i)}`, keyDigests, rank: undefined, quota: undefined };
     });
 
-    it('of 10,000 organisations are found in a microsecond or two by their digests', () => {
+    it('of 10,000 organisations are found by digest within two microseconds', () => {
       const keyring = new Keyring(organisations);
       const digests = organisations.flatMap(({ keyDigests }) => keyDigests);
       expect(keyring.holderOf(digestOfKey('9999-3'))?.name).to.equal('o9999');
@@ -273,7 +273,7 @@
       expect(found).to.have.lengthOf(digests.length);
     });
 
-    it('that one of them gets travel without those of the others', () => {
+    it('of one organisation change without retransmission of the others', () => {
       const limits = { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
       const plan = { routes: [], services: [], limits };
       const [first, ...others] = organisations;
@@ -284,7 +284,7 @@
     });
   });
 
-  describe('importance', () => {
+  describe('priority', () => {
     const route = (name: string, rank: number): HostRoute => ({
       name,
       host: name,
@@ -297,7 +297,7 @@
       parts: [{ service: name, weight: 1 }],
       mostAttempts: 1,
     });
-    const owner = (rank: number | undefined): Organisation => ({
+    const organisationWithRank = (rank: number | undefined): Organisation => ({
       name: `rank ${String(rank)}`,
       keyDigests: [],
       rank,
@@ -308,18 +308,18 @@
     const planned = (organisations: readonly Organisation[] | undefined) =>
       new HostRoutes({ routes, services: [], limits, organisations }, () => 0.5);
 
-    it('of the organisation goes before that of the route, which tells among equals', () => {
-      const plan = planned([owner(0), owner(3)]);
-      const rankOf = (name: number, rank: number) => plan.rankOf(routes[name]!, owner(rank));
+    it('follows the organisation first, and the route among equal organisations', () => {
+      const plan = planned([organisationWithRank(0), organisationWithRank(3)]);
+      const rankOf = (name: number, rank: number) => plan.rankOf(routes[name]!, organisationWithRank(rank));
       const inOrder = [rankOf(0, 0), rankOf(1, 0), rankOf(0, 3), rankOf(1, 3)];
       expect(inOrder).to.deep.equal([...inOrder].sort((a, b) => a - b));
       expect(new Set(inOrder).size).to.equal(4);
       expect(plan.classes).to.be.greaterThan(Math.max(...inOrder));
     });
 
-    it('is that of the route, as declared, where organisations have none, or there are none', () => {
-      for (const plan of [planned(undefined), planned([owner(undefined)])]) {
-        expect(plan.rankOf(routes[0]!, owner(undefined))).to.equal(0);
+    it('follows the route alone if organisations have no rank, or there are none', () => {
+      for (const plan of [planned(undefined), planned([organisationWithRank(undefined)])]) {
+        expect(plan.rankOf(routes[0]!, organisationWithRank(undefined))).to.equal(0);
         expect(plan.rankOf(routes[1]!, undefined)).to.equal(2);
         expect(plan.classes).to.equal(3);
       }
--- a/tests/quarantineSoak.spec.ts
+++ b/tests/quarantineSoak.spec.ts
@@ -1,7 +1,7 @@
 /**
- * Requests that end upstreams come at daemons as processes while some of these are stopped and continued, killed and started again, rejected by the
- * store, or left with connections that fell silent, at random and several at once, beside others that are harmless. `CLEATQUAY_SEED` tries another
- * run, `CLEATQUAY_ROUNDS` a longer one.
+ * Sends queries of death along with harmless requests to daemons as processes under random, overlapping faults: daemons
+ * are suspended, killed and restarted, rejected by the store, or lose their connections without notice. `CLEATQUAY_SEED`
+ * selects another run, `CLEATQUAY_ROUNDS` a longer one.
  */
 import { type Random, seededRandom } from '@cleatquay/clock';
 import { expect } from 'chai';
@@ -12,16 +12,16 @@
 const ROUNDS = Number(process.env.CLEATQUAY_ROUNDS ?? 2);
 const SEED = process.env.CLEATQUAY_SEED ?? '1';
 const ROUND_LIMIT_MS = 60_000;
-/** Ends under one request after which it is known, and time in which all daemons learn of it. */
-const QUARANTINE_ENDS = 3;
-const KNOWN_EVERYWHERE_MS = 3000;
-/** Sends after that time that are borne. */
-const BORNE_SENDS = 3;
-/** After the end of a fault a daemon counts as harmed for so long. */
-const HARMED_MS = 3000;
-const MOST_FAULTS = 3;
-const MOST_GAP_MS = 700;
-const ASKS = 10;
+/** Crashes after which a request is quarantined, and time until all daemons know this. */
+const QUARANTINE_CRASHES = 3;
+const PROPAGATION_MS = 3000;
+/** Attempts that are tolerated after that time. */
+const MAX_LATE_ATTEMPTS = 3;
+/** How long a daemon is regarded as affected after a fault ended. */
+const RECOVERY_MS = 3000;
+const MAX_FAULTS = 3;
+const MAX_GAP_MS = 700;
+const REQUESTS_PER_PHASE = 10;
 const CALLERS = 6;
 
 const VMS: ProcessVm[] = ['z1', 'z1', 'z1', 'z2', 'z2', 'z2'].map(failureDomain => ({
@@ -29,26 +29,26 @@
   failureDomain,
 }));
 
-/** A time for which a daemon counts as harmed. */
-interface Harm {
+/** A period in which a daemon is affected by a fault. */
+interface FaultPeriod {
   readonly node: number;
   readonly from: number;
   to: number;
 }
 
-describe('requests that end upstreams among faults, on daemons as processes', () => {
+describe('queries of death under random faults, on daemons as processes', () => {
   let fleet: ProcessFleet;
   let random: Random;
-  let harms: Harm[];
-  /** At which daemon each request came. */
-  let entries: Map<string, number>;
+  let faultPeriods: FaultPeriod[];
+  /** The ingress daemon of each request. */
+  let ingressNodes: Map<string, number>;
 
   before(() => ProcessFleet.build());
 
   beforeEach(async () => {
     random = seededRandom(`quarantine ${SEED}`);
-    harms = [];
-    entries = new Map();
+    faultPeriods = [];
+    ingressNodes = new Map();
     fleet = await ProcessFleet.start(VMS, [routeTo('history', { timeoutS: 5 })]);
     for (const { upstream } of fleet.nodes) {
       upstream.behaviour.workMs = 60;
@@ -59,88 +59,92 @@
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
-  const below = (count: number) => Math.floor(random() * count);
-  const one = <T>(list: readonly T[]): T => list[below(list.length)]!;
+  const randomBelow = (count: number) => Math.floor(random() * count);
+  const pick = <T>(list: readonly T[]): T => list[randomBelow(list.length)]!;
   const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
-  const ask = (path: string, id: string) => {
-    const node = below(VMS.length);
-    entries.set(id, node);
+  const sendRequest = (path: string, id: string) => {
+    const node = randomBelow(VMS.length);
+    ingressNodes.set(id, node);
     return fleet.nodes[node]!.request({ host: 'history.example', path, id });
   };
 
-  const strike = (): (() => Promise<void>) => {
-    const node = below(VMS.length);
-    const harm: Harm = { node, from: performance.now(), to: Number.POSITIVE_INFINITY };
-    harms.push(harm);
-    const end = FAULTS[one(Object.keys(FAULTS))]!(fleet.nodes[node]!);
+  const startFault = (): (() => Promise<void>) => {
+    const node = randomBelow(VMS.length);
+    const period: FaultPeriod = { node, from: performance.now(), to: Number.POSITIVE_INFINITY };
+    faultPeriods.push(period);
+    const stop = FAULTS[pick(Object.keys(FAULTS))]!(fleet.nodes[node]!);
     return async () => {
-      await end();
-      harm.to = performance.now() + HARMED_MS;
+      await stop();
+      period.to = performance.now() + RECOVERY_MS;
     };
   };
-  const isHarmed = (node: number, at: number) =>
-    harms.some(harm => harm.node === node && harm.from <= at && at <= harm.to);
+  const isAffected = (node: number, at: number) =>
+    faultPeriods.some(period => period.node === node && period.from <= at && at <= period.to);
 
-  /** Sends of a path by unharmed daemons to upstreams beside unharmed ones, later than all should know that it ends upstreams. */
-  const sendsTooLate = (path: string) => {
-    const deadly = new Set([...entries.keys()].filter(id => id.startsWith(path)));
-    const ends = fleet.nodes
+  /** Attempts between unaffected daemons after all of them should have quarantined the path. */
+  const lateAttempts = (path: string) => {
+    const deadly = new Set([...ingressNodes.keys()].filter(id => id.startsWith(path)));
+    const crashes = fleet.nodes
       .flatMap(({ upstream }) => upstream.ends)
       .filter(({ requestId }) => deadly.has(requestId))
       .map(({ at }) => at)
       .sort((a, b) => a - b);
-    const known = (ends[QUARANTINE_ENDS - 1] ?? Number.POSITIVE_INFINITY) + KNOWN_EVERYWHERE_MS;
+    const propagatedAt = (crashes[QUARANTINE_CRASHES - 1] ?? Number.POSITIVE_INFINITY) + PROPAGATION_MS;
     return fleet.nodes.flatMap(({ upstream }, node) =>
       upstream.arrivals.filter(
         ({ requestId, at }) =>
           deadly.has(requestId) &&
-          at > known &&
-          !isHarmed(node, at) &&
-          !isHarmed(entries.get(requestId) ?? 0, at),
+          at > propagatedAt &&
+          !isAffected(node, at) &&
+          !isAffected(ingressNodes.get(requestId) ?? 0, at),
       ),
     );
   };
 
-  const askBeside = async (round: number, caller: number, isOver: () => boolean) => {
-    for (let i = 0; !isOver(); i++) {
+  const sendHarmless = async (round: number, caller: number, isStopped: () => boolean) => {
+    for (let i = 0; !isStopped(); i++) {
       const path = i % 3 === 0 ? '/popular' : `/own/${String(round)}/${String(caller)}/${String(i)}`;
       const id = `${path}-${String(round)}-${String(caller)}-${String(i)}`;
-      if ((await ask(path, id)) !== 200) await ask(path, `${id}-again`);
+      if ((await sendRequest(path, id)) !== 200) await sendRequest(path, `${id}-again`);
     }
   };
-  const askForDeath = async (path: string, from: number) => {
-    for (let i = 0; i < ASKS; i++) {
-      void ask(path, `${path}-${String(from + i)}`);
-      await pause(below(MOST_GAP_MS));
+  const sendQueryOfDeath = async (path: string, from: number) => {
+    for (let i = 0; i < REQUESTS_PER_PHASE; i++) {
+      void sendRequest(path, `${path}-${String(from + i)}`);
+      await pause(randomBelow(MAX_GAP_MS));
     }
   };
 
   const round = async (number: number): Promise<string> => {
     const path = `/deadly/${String(number)}`;
-    let isOver = false;
-    const callers = Array.from({ length: CALLERS }, (_, caller) => askBeside(number, caller, () => isOver));
-    const ends = Array.from({ length: 1 + below(MOST_FAULTS) }, strike);
-    await askForDeath(path, 0);
-    await Promise.all(ends.map(end => end()));
-    await askForDeath(path, ASKS);
-    await pause(KNOWN_EVERYWHERE_MS);
-    await askForDeath(path, 2 * ASKS);
-    isOver = true;
+    let isStopped = false;
+    const callers = Array.from({ length: CALLERS }, (_, caller) =>
+      sendHarmless(number, caller, () => isStopped),
+    );
+    const faults = Array.from({ length: 1 + randomBelow(MAX_FAULTS) }, startFault);
+    await sendQueryOfDeath(path, 0);
+    await Promise.all(faults.map(stop => stop()));
+    await sendQueryOfDeath(path, REQUESTS_PER_PHASE);
+    await pause(PROPAGATION_MS);
+    await sendQueryOfDeath(path, 2 * REQUESTS_PER_PHASE);
+    isStopped = true;
     await Promise.all(callers);
     return path;
   };
 
-  it('are held back in time, and nothing else is', async function () {
+  it('are quarantined in time, and other requests are not', async function () {
     this.timeout(ROUNDS * ROUND_LIMIT_MS);
-    const held: string[] = [];
+    const quarantined: string[] = [];
     for (let done = 1; done <= ROUNDS; done++) {
       const path = await round(done);
-      held.push(`GET ${path}`);
-      expect(sendsTooLate(path).length, `round ${String(done)} of seed ${SEED}`).to.be.at.most(BORNE_SENDS);
+      quarantined.push(`GET ${path}`);
+      expect(lateAttempts(path).length, `round ${String(done)} of seed ${SEED}`).to.be.at.most(
+        MAX_LATE_ATTEMPTS,
+      );
       for (const node of fleet.nodes) {
         const status = await node.status();
         const asks = status?.quarantine.map(verdict => verdict.asks).sort();
-        expect(asks, `round ${String(done)} of seed ${SEED}`).to.deep.equal([...held].sort());
+        expect(asks, `round ${String(done)} of seed ${SEED}`).to.deep.equal([...quarantined].sort());
       }
     }
   });
--- a/tests/queryOfDeath.spec.ts
+++ b/tests/queryOfDeath.spec.ts
@@ -1,16 +1,10 @@
 /**
- * A request under which every upstream ends that begins it came again and again, each time with a new id and at another VM. Each time it
- * was sent to an upstream, and after that one had ended at once to the next; its callers got 502 to the end, and so did those whose
- * requests ran beside it.
- *
- * Order of events: an upstream ends; its daemon says that it broke off, as of one answer that was spoiled; the entry sends the request
- * elsewhere, where it ends the next upstream; seconds later it comes again at a VM that knows nothing of it.
- *
- * Cause: nothing remembered what ran where an upstream ended. An end was taken for one answer that broke off, after which another upstream
- * helps; what a request is was known by its id only, which it has once.
- *
- * Evidence: the users' record, where after three ends one such request was sent 11 times more, at two VMs of two failure domains, and 22
- * upstreams ended; this test, where on that code 20 sends came later than 3 s after the third end (9 where it may run only once).
+ * Guards against a query of death that crashes upstream after upstream. Without a quarantine, a crash was handled like one
+ * truncated response: the ingress daemon sent the request to the next upstream, which crashed, too, and the caller's retry
+ * with a new id at another VM started over. Since a request was identified by its id only, nothing linked the crashes; the
+ * callers got 502, as did those whose requests were in flight at the same upstreams. In the reported incident, one such
+ * request was sent 11 more times after three crashes, at two VMs of two failure domains, and 22 upstreams crashed; here,
+ * 20 attempts started later than 3 s after the third crash (9 on the route that is not idempotent).
  */
 import { seededRandom } from '@cleatquay/clock';
 import { expect } from 'chai';
@@ -18,21 +12,21 @@
 import { routeTo } from './fixtures/platformFleet.js';
 import { ProcessFleet, type ProcessNode, type ProcessVm } from './fixtures/platformProcesses.js';
 
-/** Ends under one request after which it is known. */
-const QUARANTINE_ENDS = 3;
-/** Time in which all daemons learn of it. */
-const KNOWN_EVERYWHERE_MS = 3000;
-/** Sends after that time that are borne. */
-const BORNE_SENDS = 3;
+/** Crashes after which a request is quarantined. */
+const QUARANTINE_CRASHES = 3;
+/** Time until all daemons know this. */
+const PROPAGATION_MS = 3000;
+/** Attempts that are tolerated after that time. */
+const MAX_LATE_ATTEMPTS = 3;
 const PAUSE_MS = 1500;
 const LOAD_PAUSE_MS = 100;
-const DEADLY = '/deadly';
-/** Callers that ask all the time: some six of their requests run at each upstream. */
+const QUERY_OF_DEATH = '/deadly';
+/** Callers without a pause between requests; each upstream runs about six of their requests at a time. */
 const MANY_CALLERS = 36;
-const MANY_DEATHS = 12;
+const MANY_QUERIES = 12;
 const SHORT_PAUSE_MS = 300;
-/** Harmless requests beside it: of every five of them, four are served even while upstreams are away. */
-const SERVED_SHARE = 0.8;
+/** Minimum ratio of harmless requests that are served while upstreams restart. */
+const MIN_SERVED_RATIO = 0.8;
 
 const VMS: ProcessVm[] = ['z1', 'z1', 'z2', 'z2', 'z3', 'z3'].map(failureDomain => ({
   service: 'history',
@@ -43,55 +37,60 @@
   routeTo('history', { name: 'once', host: 'once.example', kind: 'non_idempotent', timeoutS: 5 }),
 ];
 
-describe('a request under which every upstream ends that begins it, on daemons as processes', () => {
+describe('a query of death, on daemons as processes', () => {
   let fleet: ProcessFleet;
   let random: () => number;
-  let asked: number;
+  let queryCount: number;
 
   before(() => ProcessFleet.build());
 
   beforeEach(async () => {
     random = seededRandom(1);
-    asked = 0;
+    queryCount = 0;
     fleet = await ProcessFleet.start(VMS, ROUTES);
     for (const { upstream } of fleet.nodes)
-      upstream.behaviour.fault = (_id, path) => (path === DEADLY ? 'end' : 'none');
+      upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'end' : 'none');
   });
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
   const someNode = (): ProcessNode => fleet.nodes[Math.floor(random() * fleet.nodes.length)]!;
-  const sends = () =>
+  const attempts = () =>
     fleet.nodes
       .flatMap(({ upstream }) => upstream.arrivals)
-      .filter(({ path }) => path === DEADLY)
+      .filter(({ path }) => path === QUERY_OF_DEATH)
       .map(({ at }) => at)
       .sort((a, b) => a - b);
-  const ends = () =>
+  const crashes = () =>
     fleet.nodes
       .flatMap(({ upstream }) => upstream.ends)
       .map(({ at }) => at)
       .sort((a, b) => a - b);
-  const sendsTooLate = () => {
-    const third = ends()[QUARANTINE_ENDS - 1] ?? Number.POSITIVE_INFINITY;
-    return sends().filter(at => at > third + KNOWN_EVERYWHERE_MS);
+  const lateAttempts = () => {
+    const third = crashes()[QUARANTINE_CRASHES - 1] ?? Number.POSITIVE_INFINITY;
+    return attempts().filter(at => at > third + PROPAGATION_MS);
   };
-  const askForDeath = (more: { host?: string; body?: string } = {}) =>
-    someNode().request({ host: 'history.example', path: DEADLY, id: `deadly-${String(asked++)}`, ...more });
-  /** The request comes again every now and then, wherever it likes, each time with another id. */
-  const repeatFor = async (ms: number, more: { host?: string; body?: string } = {}) => {
+  const sendQueryOfDeath = (options: { host?: string; body?: string } = {}) =>
+    someNode().request({
+      host: 'history.example',
+      path: QUERY_OF_DEATH,
+      id: `deadly-${String(queryCount++)}`,
+      ...options,
+    });
+  /** Repeats the query at random daemons, each time with another id. */
+  const repeatFor = async (ms: number, options: { host?: string; body?: string } = {}) => {
     const end = performance.now() + ms;
     const statuses: number[] = [];
     while (performance.now() < end) {
-      statuses.push(await askForDeath(more));
+      statuses.push(await sendQueryOfDeath(options));
       await sleep(PAUSE_MS);
     }
     return statuses;
   };
-  /** Others ask for a popular path meanwhile, and each for one of its own. */
-  const askBeside = async (isOver: () => boolean) => {
+  /** Sends harmless requests, alternating between one popular path and paths that occur once. */
+  const sendHarmless = async (isStopped: () => boolean) => {
     const statuses: number[] = [];
-    for (let i = 0; !isOver(); i++) {
+    for (let i = 0; !isStopped(); i++) {
       const path = i % 2 === 0 ? '/popular' : `/own/${String(i)}`;
       statuses.push(await someNode().request({ host: 'history.example', path, id: `beside-${String(i)}` }));
       await sleep(LOAD_PAUSE_MS);
@@ -99,74 +98,76 @@
     return statuses;
   };
 
-  it('is sent to no more upstreams once three have ended under it, while others are served', async () => {
-    let isOver = false;
-    const beside = askBeside(() => isOver);
+  it('is not sent to upstreams after three crashes, while other requests are served', async () => {
+    let isStopped = false;
+    const harmless = sendHarmless(() => isStopped);
     const statuses = await repeatFor(20_000);
-    isOver = true;
-    expect(ends().length).to.be.at.least(QUARANTINE_ENDS);
-    expect(sendsTooLate().length).to.be.at.most(BORNE_SENDS);
+    isStopped = true;
+    expect(crashes().length).to.be.at.least(QUARANTINE_CRASHES);
+    expect(lateAttempts().length).to.be.at.most(MAX_LATE_ATTEMPTS);
     expect(statuses.at(-1)).to.equal(503);
-    const others = await beside;
-    expect(others.filter(status => status === 200).length / others.length).to.be.above(SERVED_SHARE);
+    const others = await harmless;
+    expect(others.filter(status => status === 200).length / others.length).to.be.above(MIN_SERVED_RATIO);
     expect(others.slice(-20)).to.deep.equal(others.slice(-20).map(() => 200));
   });
 
-  it('is the only one held back, though dozens of others run beside it each time, and come again when they failed', async () => {
+  it('is the only quarantined request, though dozens of others are in flight at each crash and are retried', async () => {
     for (const { upstream } of fleet.nodes) upstream.behaviour.workMs = 150;
-    let isOver = false;
+    let isStopped = false;
     const statuses: number[] = [];
-    const askOwn = async (caller: number) => {
-      for (let i = 0; !isOver; i++) {
+    const sendOwnPaths = async (caller: number) => {
+      for (let i = 0; !isStopped; i++) {
         const path = `/own/${String(caller)}/${String(i)}`;
-        const ask = (attempt: string) =>
+        const send = (attempt: string) =>
           someNode().request({
             host: 'history.example',
             path,
             id: `${attempt}-${String(caller)}-${String(i)}`,
           });
-        const first = await ask('first');
-        statuses.push(first === 200 ? first : await ask('second'));
+        const first = await send('first');
+        statuses.push(first === 200 ? first : await send('second'));
       }
     };
-    const callers = Array.from({ length: MANY_CALLERS }, (_, caller) => askOwn(caller));
-    for (let i = 0; i < MANY_DEATHS; i++) {
-      void askForDeath();
+    const callers = Array.from({ length: MANY_CALLERS }, (_, caller) => sendOwnPaths(caller));
+    for (let i = 0; i < MANY_QUERIES; i++) {
+      void sendQueryOfDeath();
       await sleep(SHORT_PAUSE_MS);
     }
-    await sleep(KNOWN_EVERYWHERE_MS);
-    isOver = true;
+    await sleep(PROPAGATION_MS);
+    isStopped = true;
     await Promise.all(callers);
     const [status] = await Promise.all(fleet.nodes.map(node => node.status()));
-    expect(status!.quarantine.map(({ asks }) => asks)).to.deep.equal([`GET ${DEADLY}`]);
-    expect(statuses.filter(s => s === 200).length / statuses.length).to.be.above(SERVED_SHARE);
+    expect(status!.quarantine.map(({ asks }) => asks)).to.deep.equal([`GET ${QUERY_OF_DEATH}`]);
+    expect(statuses.filter(s => s === 200).length / statuses.length).to.be.above(MIN_SERVED_RATIO);
   });
 
-  it('that may run only once and has a body is sent to no more either', async () => {
+  it('is not sent to upstreams after three crashes if it is not idempotent and has a body', async () => {
     const statuses = await repeatFor(20_000, { host: 'once.example', body: 'deadly' });
-    expect(ends().length).to.be.at.least(QUARANTINE_ENDS);
-    expect(sendsTooLate().length).to.be.at.most(BORNE_SENDS);
+    expect(crashes().length).to.be.at.least(QUARANTINE_CRASHES);
+    expect(lateAttempts().length).to.be.at.most(MAX_LATE_ATTEMPTS);
     expect(statuses.at(-1)).to.equal(503);
   });
 
-  it('is still known after all daemons were killed and started at once, and others beside it are served', async () => {
-    while (ends().length < QUARANTINE_ENDS) {
-      await askForDeath();
+  it('stays quarantined after all daemons were killed and restarted at once, and other requests are served', async () => {
+    while (crashes().length < QUARANTINE_CRASHES) {
+      await sendQueryOfDeath();
       await sleep(PAUSE_MS);
     }
-    await sleep(KNOWN_EVERYWHERE_MS);
+    await sleep(PROPAGATION_MS);
     await Promise.all(fleet.nodes.map(node => node.restart()));
     await fleet.settle();
     await fleet.calm();
-    const before = sends().length;
-    let isOver = false;
-    const beside = askBeside(() => isOver);
+    const before = attempts().length;
+    let isStopped = false;
+    const harmless = sendHarmless(() => isStopped);
     await repeatFor(8000);
-    isOver = true;
-    expect(sends().length - before).to.equal(0);
-    const others = await beside;
+    isStopped = true;
+    expect(attempts().length - before).to.equal(0);
+    const others = await harmless;
     expect(others).to.deep.equal(others.map(() => 200));
     for (const node of fleet.nodes)
-      expect((await node.status())!.quarantine.map(({ asks }) => asks)).to.deep.equal([`GET ${DEADLY}`]);
+      expect((await node.status())!.quarantine.map(({ asks }) => asks)).to.deep.equal([
+        `GET ${QUERY_OF_DEATH}`,
+      ]);
   });
 });
