--- a/tests/organisations.spec.ts
+++ b/tests/organisations.spec.ts
@@ -162,7 +162,7 @@
   });
 
   describe('a quota', () => {
-    it('limits an organisation across all daemons; other requests are refused at once with a retry time, and other organisations are not affected', async () => {
+    it('limits an organisation across all daemons; requests beyond it are refused at once with a retry time, and other organisations are not affected', async () => {
       const vms = ['z1', 'z1', 'z2'].map(failureDomain => ({ service: 'history', failureDomain }));
       const bounded = { ...DAIRY, ratePerS: 10, burst: 6 };
       await using fleet = await PlatformFleet.start(vms, [routeTo('history')], [bounded, PHARMACY]);
