--- a/packages/organisations/src/organisationCounts.ts
+++ b/packages/organisations/src/organisationCounts.ts
@@ -1,7 +1,4 @@
-/**
- * Counts each organisation's requests at one daemon by outcome, so that operators can tell why requests are
- * refused.
- */
+/** Counts each organisation's requests at one daemon by outcome, so that operators can tell why requests are refused. */
 
 /** The outcome of a request. */
 export type RequestEnd = 'answered' | 'over-quota' | 'refused' | 'failed';
--- a/packages/organisations/src/quotaPots.ts
+++ b/packages/organisations/src/quotaPots.ts
@@ -8,14 +8,9 @@
 import { type Quota } from './organisation.js';
 import { ShareLeases } from './shareLoans.js';
 
-/**
- * Requests may be granted ahead and delayed up to this long: a short wait is better than a refusal, and far
- * below any timeout.
- */
+/** Requests may be granted ahead and delayed up to this long: a short wait is better than a refusal, and far below any timeout. */
 const MAX_DELAY_MS = 150;
-/**
- * Refused requests are told to retry one after the other, but no later than this: callers wouldn't wait longer.
- */
+/** Refused requests are told to retry one after the other, but no later than this: callers wouldn't wait longer. */
 const MAX_RETRY_AFTER_MS = 5000;
 /** Fraction of a bucket that is not transferred to another failure domain. */
 const KEPT_RATIO = 1 / 2;
--- a/packages/organisations/src/quotas.ts
+++ b/packages/organisations/src/quotas.ts
@@ -14,15 +14,9 @@
 
 /** Interval of lease renewals: a lease survives two lost datagrams in a row. */
 const LEASE_RENEWAL_MS = 250;
-/**
- * A request without a response is sent again after this long, which is many round trips within a failure
- * domain.
- */
+/** A request without a response is sent again after this long, which is many round trips within a failure domain. */
 const RESEND_AFTER_MS = 50;
-/**
- * Later responses are ignored: the granted requests would run in another window than the one they were counted
- * in.
- */
+/** Later responses are ignored: the granted requests would run in another window than the one they were counted in. */
 const MAX_RESPONSE_AGE_MS = 200;
 /** A daemon that doesn't respond for this long is regarded as failed. */
 const RESPONSE_TIMEOUT_MS = 350;
@@ -284,9 +278,7 @@
     for (const [name, { until }] of this.exhausted) if (until <= now) this.exhausted.delete(name);
   }
 
-  /**
-   * Requests tokens for queued requests that have none pending, and renews the lease of this daemon's share.
-   */
+  /** Requests tokens for queued requests that have none pending, and renews the lease of this daemon's share. */
   private sendRequests(index: number, now: number): void {
     const shard = this.shardAt(index);
     const to = this.directory.inSameDomain(index, now);
--- a/packages/organisations/src/ranks.ts
+++ b/packages/organisations/src/ranks.ts
@@ -34,10 +34,7 @@
     this.count = this.classes.size > 0 ? this.classes.size : highest;
   }
 
-  /**
-   * The class of a request, 0 for the highest priority; without `organisationRank`, only the route's rank
-   * counts.
-   */
+  /** The class of a request, 0 for the highest priority; without `organisationRank`, only the route's rank counts. */
   of(route: number, organisationRank: number | undefined): number {
     return this.classes.get(keyOf({ primary: organisationRank ?? route, route })) ?? route;
   }
--- a/packages/organisations/src/shards.ts
+++ b/packages/organisations/src/shards.ts
@@ -9,10 +9,7 @@
   return crc32(organisation) % SHARD_COUNT;
 }
 
-/**
- * The address that coordinates a shard, undefined if there are no addresses. Few shards move when daemons join
- * or leave.
- */
+/** The address that coordinates a shard, undefined if there are no addresses. Few shards move when daemons join or leave. */
 export function coordinatorOf(shard: number, addresses: Iterable<string>): string | undefined {
   let best: string | undefined;
   let lowest = Number.POSITIVE_INFINITY;
--- a/packages/organisations/src/shareLender.ts
+++ b/packages/organisations/src/shareLender.ts
@@ -36,10 +36,7 @@
     return { epoch: offer.epoch, until: offer.until, share };
   }
 
-  /**
-   * Extends the coordinator's lease to one lease duration after `from`; returns false while another daemon's
-   * lease is valid.
-   */
+  /** Extends the coordinator's lease to one lease duration after `from`; returns false while another daemon's lease is valid. */
   lease(coordinator: string, from: number, now: number): boolean {
     if (this.leasedTo !== coordinator && now < this.leasedUntil) return false;
     if (this.leasedTo !== coordinator)
--- a/packages/quarantine/src/isolation.ts
+++ b/packages/quarantine/src/isolation.ts
@@ -28,9 +28,7 @@
 export class Isolation {
   private readonly byStart = new Map<string, Semaphore>();
 
-  /**
-   * Waits for permits, which disposing of the result releases. Resolves without permits when `signal` aborts.
-   */
+  /** Waits for permits, which disposing of the result releases. Resolves without permits when `signal` aborts. */
   async enter(start: string, wanted: Permits, signal: CancelSignal): Promise<Disposable> {
     const semaphore = this.byStart.get(start) ?? { available: PERMITS_PER_START, queue: [] };
     this.byStart.set(start, semaphore);
--- a/packages/quarantine/src/quarantine.ts
+++ b/packages/quarantine/src/quarantine.ts
@@ -6,7 +6,7 @@
  * Several rules protect harmless requests, since a wrong quarantine lasts until somebody notices: a request is
  * cleared of a crash as soon as it completes anywhere, or if it completed recently; a crash that is attributed
  * to one request no longer counts against others; and suspects run next to few other suspects or none
- * (`isolation.ts`).
+ * (`suspectSemaphore.ts`).
  */
 import { type Clock, type Random, type Timer } from '@cleatquay/clock';
 import { type Finding } from '@cleatquay/protocol';
@@ -14,9 +14,9 @@
 import { type FingerprintHead } from './fingerprint.js';
 import {
   MAX_ASKS_CHARS,
+  clearanceFindings,
   findingOf,
   findingOfVerdict,
-  clearanceFindings,
   fingerprintsIn,
   isValidFinding,
 } from './findings.js';
@@ -29,17 +29,14 @@
 const QUARANTINE_CRASHES = 3;
 /** Crashes until a request runs without any other suspect. */
 const STRONG_SUSPECT_CRASHES = 2;
-/**
- * Delay of a verdict, so that two rounds of gossip can deliver what clears the request; until then it is
- * refused already.
- */
+/** Delay of a verdict, so that two rounds of gossip can deliver what clears the request; until then it is refused already. */
 const DECISION_DELAY_MS = 250;
-/** A quarantined request may be retried at any rate, so callers are told to wait long. */
+/** Retries of a quarantined request are harmless but futile, so callers are told not to retry soon. */
 const QUARANTINED_RETRY_AFTER_MS = 60_000;
 const UNDECIDED_RETRY_AFTER_MS = 2 * DECISION_DELAY_MS;
-/** Requests whose method and path are stored for display. */
+/** Number of requests whose method and path are kept for display. */
 const MAX_DESCRIPTIONS = 500;
-/** Crashed process starts that a verdict names. */
+/** Number of crashed process starts that a verdict names. */
 const MAX_VERDICT_STARTS = 4;
 
 /** Whether a request may run: without restrictions, next to few other suspects, next to none, or not at all. */
@@ -163,9 +160,7 @@
     await this.persistence.recordCrash(start);
   }
 
-  /**
-   * Process starts that crashed with the request in flight, to forward to the daemon that the request is sent to.
-   */
+  /** Process starts that crashed with the request in flight, to forward to the daemon that the request is sent to. */
   startsUnder(fingerprint: string): string[] {
     return this.crashes.crashedUnder(fingerprint);
   }
@@ -179,9 +174,7 @@
     this.publish(findingOf('ENDED', [start], [fingerprint]));
   }
 
-  /**
-   * Records that an upstream sent a complete response. The fingerprint is only computed if there are suspects.
-   */
+  /** Records that an upstream sent a complete response. The fingerprint is only computed if there are suspects. */
   answered(head: FingerprintHead, body: Uint8Array, fingerprint: () => string): void {
     this.responses.add(head, body);
     if (this.crashes.suspectCount > 0) this.clearFromKnownCrashes(fingerprint());
@@ -273,9 +266,7 @@
     if (!attributions.every(isDue)) this.scheduleDecision();
   }
 
-  /**
-   * When a verdict may be made; first by daemons that know method and path, so that all others receive these.
-   */
+  /** When a verdict may be made; first by daemons that know method and path, so that all others receive these. */
   private decidableAt(fingerprint: string): number {
     const delayMs = this.descriptions.has(fingerprint) ? DECISION_DELAY_MS : 2 * DECISION_DELAY_MS;
     return this.crashes.lastCrashUnder(fingerprint) + delayMs;
@@ -296,10 +287,7 @@
     if (this.applyVerdict(verdict, from)) this.options.spread(findingOfVerdict(verdict));
   }
 
-  /**
-   * Applies a newer verdict; daemons that saw one of its crashes store it. A release clears the request of all
-   * crashes so far.
-   */
+  /** Applies a newer verdict; daemons that saw one of its crashes store it. A release clears the request of all crashes so far. */
   private applyVerdict(
     verdict: Verdict,
     from: 'its crashes' | 'an operator' | 'another daemon' | 'a stored row',
--- a/packages/quarantine/src/quarantineTable.ts
+++ b/packages/quarantine/src/quarantineTable.ts
@@ -31,9 +31,7 @@
 /** The table. Any call may fail, even after it took effect. */
 export interface QuarantineTable {
   readonly list: (signal: AbortSignal) => Promise<readonly ListedQuarantineRow[]>;
-  /**
-   * Subscribes to rows that are read as part of other reads: soon after the start, and occasionally afterwards.
-   */
+  /** Subscribes to rows that are read as part of other reads: soon after the start, and occasionally afterwards. */
   readonly watch: (listener: (rows: readonly ListedQuarantineRow[]) => void) => void;
   /** Replaces the row of a service if its version is still `version`; 0 for no row. */
   readonly write: (
--- a/packages/quarantine/src/recordKeeper.ts
+++ b/packages/quarantine/src/recordKeeper.ts
@@ -11,9 +11,7 @@
 
 /** Longest wait of requests for the first read after a daemon's start, about ten times the usual duration. */
 const MAX_LOAD_WAIT_MS = 500;
-/**
- * Longest wait for the other daemons' crashes before a daemon responds to the callers of a crashed upstream.
- */
+/** Longest wait for the other daemons' crashes before a daemon responds to the callers of a crashed upstream. */
 const MAX_READ_WAIT_MS = 100;
 /**
  * After this delay, most requests that were in flight at a crash have completed elsewhere and need not be
@@ -25,10 +23,7 @@
 /** Pause after a failed write, which spares a platform that is down. */
 const WRITE_RETRY_DELAY_MS = 5000;
 const MAX_WRITE_ATTEMPTS = 3;
-/**
- * Most crashes in a row; the oldest are removed. With 64 requests each they take less than half of the row's 64
- * KiB.
- */
+/** Most crashes in a row; the oldest are removed. With 64 requests each they take less than half of the row's 64 KiB. */
 const MAX_RECORDED_CRASHES = 20;
 /** How long a crash is kept in a row, by the writer's wall clock. */
 const RETENTION_MS = 3_600_000;
--- a/packages/quarantine/src/verdicts.ts
+++ b/packages/quarantine/src/verdicts.ts
@@ -75,10 +75,7 @@
     return true;
   }
 
-  /**
-   * Evicts a released request. The choice is deterministic, so daemons with the same verdicts evict the same
-   * one.
-   */
+  /** Evicts a released request. The choice is deterministic, so daemons with the same verdicts evict the same one. */
   private evictReleased(): boolean {
     const released = this.all
       .filter(verdict => !isQuarantined(verdict))
