--- a/packages/quarantine/src/evidence.ts
+++ b/packages/quarantine/src/evidence.ts
@@ -1,136 +1,140 @@
 /**
- * Which starts of upstreams ended while a request ran there. An end is known by the start that has ended, so that two daemons that saw it, or a
- * word that comes twice or late, count it once. Adding and excusing give the same result in any order.
+ * Records which upstream crashes each request may have caused. A crash is keyed by the process start
+ * of the upstream, so that reports of it by two daemons, and duplicate or late messages, count once. Adding
+ * suspects and clearing them commute.
  */
 import { type Clock } from '@cleatquay/clock';
 
-/** Ends that are kept in mind: more than a fleet has while it takes notice of a request; the oldest makes room. */
-const MOST_ENDS = 300;
-/** How long an end is kept in mind, ms. */
-const KEPT_MS = 3_600_000;
+/** More crashes than a fleet has before a query of death is quarantined; the oldest is evicted. */
+const MAX_CRASHES = 300;
+/** How long a crash is retained. */
+const RETENTION_MS = 3_600_000;
 
-interface End {
-  /** Clock time at which it was learned of, ms. */
-  readonly at: number;
-  /** Fingerprints of requests that ran there, less those that are cleared. */
+interface CrashRecord {
+  /** Local time at which this daemon learned of the crash, ms. */
+  readonly learnedAt: number;
+  /** Fingerprints of the requests in flight, without those that are cleared. */
   readonly suspects: Set<string>;
-  /** Fingerprints of requests that it did not end under, whatever is said later. */
+  /** Fingerprints of requests that are known not to be the cause; this overrides later reports. */
   readonly cleared: Set<string>;
-  /** The request that it ended under, once that is known. */
-  cause: string | undefined;
+  /** The request that caused the crash, once it is known. */
+  culprit: string | undefined;
 }
 
-/** A start that has ended, and the requests that it may have ended under. */
-export interface KnownEnd {
+/** An upstream start that crashed, and the requests that may have caused it. */
+export interface Crash {
   readonly start: string;
   readonly fingerprints: readonly string[];
 }
 
-/** Ends of upstreams, and the requests that they may be due to. */
-export class Evidence {
-  private readonly ends = new Map<string, End>();
-  private readonly startsOf = new Map<string, Set<string>>();
+/** Crashes of upstreams and the requests suspected of them. */
+export class CrashHistory {
+  private readonly records = new Map<string, CrashRecord>();
+  private readonly startsByRequest = new Map<string, Set<string>>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Requests that some end may be due to. */
-  get suspects(): number {
-    return this.startsOf.size;
+  /** Number of requests that are suspected of at least one crash. */
+  get suspectCount(): number {
+    return this.startsByRequest.size;
   }
 
-  /** Ends that are kept in mind. */
+  /** Number of retained crashes. */
   get size(): number {
-    return this.ends.size;
+    return this.records.size;
   }
 
-  /** An upstream ended while these ran there. Says whether that was news. */
+  /** Records the requests in flight when an upstream crashed; returns whether anything was new. */
   add(start: string, fingerprints: readonly string[]): boolean {
-    this.forgetOld();
-    const isKnown = this.ends.has(start);
-    const end = this.endOf(start);
-    const news = fingerprints.filter(fingerprint => isNews(end, fingerprint));
-    for (const fingerprint of news) this.suspect(start, end, fingerprint);
-    return !isKnown || news.length > 0;
+    this.removeExpired();
+    const isKnown = this.records.has(start);
+    const crash = this.recordOf(start);
+    const added = fingerprints.filter(fingerprint => isNewSuspect(crash, fingerprint));
+    for (const fingerprint of added) this.addSuspect(start, crash, fingerprint);
+    return !isKnown || added.length > 0;
   }
 
-  /** A request ended well, so that these starts did not end under it. Says whether that was news. */
-  clearOf(fingerprint: string, starts: readonly string[]): boolean {
-    const news = starts.filter(start => !this.endOf(start).cleared.has(fingerprint));
-    for (const start of news) {
-      this.endOf(start).cleared.add(fingerprint);
-      this.unlink(start, fingerprint);
+  /** Clears a request that completed of these crashes; returns whether anything was new. */
+  clear(fingerprint: string, starts: readonly string[]): boolean {
+    const added = starts.filter(start => !this.recordOf(start).cleared.has(fingerprint));
+    for (const start of added) {
+      this.recordOf(start).cleared.add(fingerprint);
+      this.removeSuspect(start, fingerprint);
     }
-    return news.length > 0;
+    return added.length > 0;
   }
 
-  /** The request that these starts ended under is known: all others that ran there are cleared of it. */
+  /** Attributes these crashes to one request, which clears all other requests of them. */
   attribute(fingerprint: string, starts: readonly string[]): void {
     for (const start of starts) {
-      const end = this.endOf(start);
-      end.cause = fingerprint;
-      for (const other of [...end.suspects]) if (other !== fingerprint) this.unlink(start, other);
+      const crash = this.recordOf(start);
+      crash.culprit = fingerprint;
+      for (const other of [...crash.suspects]) if (other !== fingerprint) this.removeSuspect(start, other);
     }
   }
 
-  /** Starts that ended while the request ran there, and that it is not cleared from. */
-  startsUnder(fingerprint: string): string[] {
-    return [...(this.startsOf.get(fingerprint) ?? [])];
+  /** Process starts that crashed with the request in flight, without those that it is cleared of. */
+  crashedUnder(fingerprint: string): string[] {
+    return [...(this.startsByRequest.get(fingerprint) ?? [])];
   }
 
-  /** Clock time at which the latest of those ends was learned of, ms. */
-  lastEndUnder(fingerprint: string): number {
-    return Math.max(...this.startsUnder(fingerprint).map(start => this.ends.get(start)?.at ?? 0));
+  /** Local time at which this daemon learned of the latest of those crashes, ms. */
+  lastCrashUnder(fingerprint: string): number {
+    return Math.max(...this.crashedUnder(fingerprint).map(start => this.records.get(start)?.learnedAt ?? 0));
   }
 
-  /** Requests under which so many starts ended or more. */
-  under(ends: number): string[] {
-    return [...this.startsOf].filter(([, starts]) => starts.size >= ends).map(([fingerprint]) => fingerprint);
+  /** Requests suspected of at least so many crashes. */
+  withCrashes(minCrashes: number): string[] {
+    return [...this.startsByRequest]
+      .filter(([, starts]) => starts.size >= minCrashes)
+      .map(([fingerprint]) => fingerprint);
   }
 
-  /** An end as it is known. */
-  get(start: string): KnownEnd | undefined {
-    const end = this.ends.get(start);
-    return end && { start, fingerprints: [...end.suspects] };
+  /** A crash with its remaining suspects. */
+  get(start: string): Crash | undefined {
+    const crash = this.records.get(start);
+    return crash && { start, fingerprints: [...crash.suspects] };
   }
 
-  private endOf(start: string): End {
-    let end = this.ends.get(start);
-    if (end) return end;
-    end = { at: this.clock.now(), suspects: new Set(), cleared: new Set(), cause: undefined };
-    this.ends.set(start, end);
-    const [oldest] = this.ends.keys();
-    if (this.ends.size > MOST_ENDS && oldest !== undefined) this.forget(oldest);
-    return end;
+  private recordOf(start: string): CrashRecord {
+    let crash = this.records.get(start);
+    if (crash) return crash;
+    crash = { learnedAt: this.clock.now(), suspects: new Set(), cleared: new Set(), culprit: undefined };
+    this.records.set(start, crash);
+    const [oldest] = this.records.keys();
+    if (this.records.size > MAX_CRASHES && oldest !== undefined) this.remove(oldest);
+    return crash;
   }
 
-  private suspect(start: string, end: End, fingerprint: string): void {
-    end.suspects.add(fingerprint);
-    const starts = this.startsOf.get(fingerprint) ?? new Set();
-    this.startsOf.set(fingerprint, starts.add(start));
+  private addSuspect(start: string, crash: CrashRecord, fingerprint: string): void {
+    crash.suspects.add(fingerprint);
+    const starts = this.startsByRequest.get(fingerprint) ?? new Set();
+    this.startsByRequest.set(fingerprint, starts.add(start));
   }
 
-  private unlink(start: string, fingerprint: string): void {
-    this.ends.get(start)?.suspects.delete(fingerprint);
-    const starts = this.startsOf.get(fingerprint);
+  private removeSuspect(start: string, fingerprint: string): void {
+    this.records.get(start)?.suspects.delete(fingerprint);
+    const starts = this.startsByRequest.get(fingerprint);
     starts?.delete(start);
-    if (starts?.size === 0) this.startsOf.delete(fingerprint);
+    if (starts?.size === 0) this.startsByRequest.delete(fingerprint);
   }
 
-  private forgetOld(): void {
-    const oldest = this.clock.now() - KEPT_MS;
-    for (const [start, { at }] of this.ends) {
-      if (at >= oldest) return;
-      this.forget(start);
+  private removeExpired(): void {
+    const oldest = this.clock.now() - RETENTION_MS;
+    for (const [start, { learnedAt }] of this.records) {
+      if (learnedAt >= oldest) return;
+      this.remove(start);
     }
   }
 
-  private forget(start: string): void {
-    for (const fingerprint of [...(this.ends.get(start)?.suspects ?? [])]) this.unlink(start, fingerprint);
-    this.ends.delete(start);
+  private remove(start: string): void {
+    for (const fingerprint of [...(this.records.get(start)?.suspects ?? [])])
+      this.removeSuspect(start, fingerprint);
+    this.records.delete(start);
   }
 }
 
-function isNews({ suspects, cleared, cause }: End, fingerprint: string): boolean {
-  if (cause !== undefined && cause !== fingerprint) return false;
+function isNewSuspect({ suspects, cleared, culprit }: CrashRecord, fingerprint: string): boolean {
+  if (culprit !== undefined && culprit !== fingerprint) return false;
   return !suspects.has(fingerprint) && !cleared.has(fingerprint);
 }
