--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -29,9 +29,9 @@
  * Contents that a daemon remembers to tell differences on top of. Changes come three seconds apart on average, in series three a second: a peer
  * that is further behind than some five seconds gets the whole. Sections that two contents share are kept once.
  */
-const REMEMBERED = 16;
+const MAX_REMEMBERED_CONTENTS = 16;
 /** Hexadecimal digits of a digest that gossip carries. */
-const SHORT_DIGITS = 8;
+const SHORT_DIGEST_DIGITS = 8;
 
 /** Holds the version in force and hands out what a peer lacks. */
 export class Configuration<Compiled> {
@@ -41,7 +41,7 @@
   private adopted: Date | undefined;
   private contentDigest = '';
   private confirmed = false;
-  private readonly remembered = new Map<string, Sections>();
+  private readonly rememberedContents = new Map<string, Sections>();
 
   constructor(
     private readonly clock: Clock,
@@ -67,7 +67,9 @@
 
   /** The first half of the digest as a number; 0 before the first. */
   get shortDigest(): number {
-    return this.contentDigest === '' ? 0 : Number.parseInt(this.contentDigest.slice(0, SHORT_DIGITS), 16);
+    return this.contentDigest === ''
+      ? 0
+      : Number.parseInt(this.contentDigest.slice(0, SHORT_DIGEST_DIGITS), 16);
   }
 
   /** Whether the platform has told that this content is that of its generation. */
@@ -92,7 +94,7 @@
   adopt(version: AppliedVersion, from: Origin): boolean {
     const before = { generation: this.generation, digest: this.digest };
     if (version.generation < before.generation) return false;
-    const sections = this.shared(version.sections);
+    const sections = this.normalise(version.sections);
     const digest = digestOf(sections);
     if (version.generation === before.generation) {
       if (from !== 'platform') return false;
@@ -126,7 +128,7 @@
     const { generation, applyId, digest, version } = this;
     const same = { generation, applyId, digest, baseDigest: asked.digest, sections: [] };
     if (!version || asked.generation >= generation) return same;
-    const base = this.remembered.get(asked.digest);
+    const base = this.rememberedContents.get(asked.digest);
     if (!base) return { ...same, baseDigest: '', sections: sectionsOf(version.sections) };
     const changed = differences(base, version.sections).map(({ section: name }) => ({
       name,
@@ -156,7 +158,7 @@
   }
 
   /** The sections in one order, whatever the way on which they came; those that are as they were share their memory. */
-  private shared(sections: Sections): Sections {
+  private normalise(sections: Sections): Sections {
     const known = this.version?.sections;
     const inOrder = [...sections].sort(([a], [b]) => (a < b ? -1 : 1));
     return new Map(
@@ -168,10 +170,11 @@
   }
 
   private remember(digest: string, sections: Sections): void {
-    this.remembered.delete(digest);
-    this.remembered.set(digest, sections);
-    const [oldest] = this.remembered.keys();
-    if (this.remembered.size > REMEMBERED && oldest !== undefined) this.remembered.delete(oldest);
+    this.rememberedContents.delete(digest);
+    this.rememberedContents.set(digest, sections);
+    const [oldest] = this.rememberedContents.keys();
+    if (this.rememberedContents.size > MAX_REMEMBERED_CONTENTS && oldest !== undefined)
+      this.rememberedContents.delete(oldest);
   }
 }
 
--- a/packages/configuration/src/configurationSpread.ts
+++ b/packages/configuration/src/configurationSpread.ts
@@ -6,10 +6,10 @@
 import { type Freshness } from './freshness.js';
 import { type ConfigurationStore } from './configurationStore.js';
 
-const READ_EVERY_MS = 1000;
-const LONGEST_PAUSE_MS = 15_000;
+const READ_INTERVAL_MS = 1000;
+const MAX_READ_INTERVAL_MS = 15_000;
 /** Pause before peers that did not help are asked once more, ms: two rounds fit into the 2 s in which a change has to be in force. */
-const ASK_AGAIN_MS = 300;
+const PEER_RETRY_DELAY_MS = 300;
 /** A peer that has not answered for so long is not waited for before the next one is asked, ms: ten round trips between the farthest. */
 const PEER_TIMEOUT_MS = 250;
 
@@ -59,10 +59,10 @@
   private reading: Promise<void> = Promise.resolve();
   private fetching: Promise<void> | undefined;
   /** Peers by the higher generation that they said they have, until they fail to give it. */
-  private readonly holders = new Map<string, number>();
+  private readonly generationsByPeer = new Map<string, number>();
   /** The last generation of which a peer had another content. */
-  private doubted = 0;
-  private isLost = false;
+  private mismatchedGeneration = 0;
+  private isUnreachable = false;
 
   constructor(private readonly options: SpreadOptions) {}
 
@@ -76,12 +76,17 @@
   heard({ generation, shortDigest }: HeardConfiguration, peer: string): void {
     const { configuration, onDoubt } = this.options;
     const isOther = generation === configuration.generation && shortDigest !== configuration.shortDigest;
-    if (isOther && shortDigest !== 0 && !configuration.isConfirmed && this.doubted !== generation) {
-      this.doubted = generation;
+    if (
+      isOther &&
+      shortDigest !== 0 &&
+      !configuration.isConfirmed &&
+      this.mismatchedGeneration !== generation
+    ) {
+      this.mismatchedGeneration = generation;
       onDoubt(peer);
     }
     if (generation <= configuration.generation) return;
-    this.holders.set(peer, generation);
+    this.generationsByPeer.set(peer, generation);
     this.fetching ??= this.fetchUntilCaughtUp(peer).finally(() => {
       this.fetching = undefined;
     });
@@ -95,41 +100,41 @@
 
   private async readForever(store: ConfigurationStore): Promise<void> {
     const { clock, random } = this.options;
-    let pause = READ_EVERY_MS;
+    let pause = READ_INTERVAL_MS;
     while (!this.stopped.signal.aborted) {
-      if (this.mayRead) pause = (await this.readOnce(store)) ? READ_EVERY_MS : this.longer(pause);
+      if (this.mayRead) pause = (await this.readOnce(store)) ? READ_INTERVAL_MS : this.nextInterval(pause);
       await clock.sleep(pause * (0.75 + random() / 2), this.stopped.signal);
     }
   }
 
-  private get isInDoubt(): boolean {
+  private get hasMismatch(): boolean {
     const { generation, isConfirmed } = this.options.configuration;
-    return this.doubted === generation && !isConfirmed;
+    return this.mismatchedGeneration === generation && !isConfirmed;
   }
 
   /** A daemon whose reads fail goes on trying, so that it may read for others again. */
   private get mayRead(): boolean {
-    return this.options.isReader() || this.isInDoubt || this.isLost;
+    return this.options.isReader() || this.hasMismatch || this.isUnreachable;
   }
 
-  private longer(pause: number): number {
-    return Math.min(LONGEST_PAUSE_MS, pause * 2);
+  private nextInterval(pause: number): number {
+    return Math.min(MAX_READ_INTERVAL_MS, pause * 2);
   }
 
   private async readOnce(store: ConfigurationStore): Promise<boolean> {
-    this.isLost = !(await this.tryToRead(store));
-    this.options.onReach(!this.isLost);
-    return !this.isLost;
+    this.isUnreachable = !(await this.attemptRead(store));
+    this.options.onReach(!this.isUnreachable);
+    return !this.isUnreachable;
   }
 
-  private async tryToRead(store: ConfigurationStore): Promise<boolean> {
+  private async attemptRead(store: ConfigurationStore): Promise<boolean> {
     const { configuration, freshness } = this.options;
     const begun = freshness.moment();
     this.state.platformReads++;
     try {
       const { generation, applyId } = await store.current();
       const isKnown = generation === configuration.generation && applyId === configuration.applyId;
-      const isNew = generation >= configuration.generation && (!isKnown || this.isInDoubt);
+      const isNew = generation >= configuration.generation && (!isKnown || this.hasMismatch);
       if (isNew) configuration.adopt(await store.read(), 'platform');
       freshness.confirmed(begun);
       return true;
@@ -146,23 +151,27 @@
     const { signal } = this.stopped;
     await clock.sleep(patienceMs(first), signal);
     const asked = new Set<string>();
-    for (let holders = this.ahead(); holders.length > 0 && !signal.aborted; holders = this.ahead()) {
+    for (
+      let holders = this.peersAhead();
+      holders.length > 0 && !signal.aborted;
+      holders = this.peersAhead()
+    ) {
       const peer = this.options.inOrder(holders).find(address => !asked.has(address));
       if (peer === undefined) {
         asked.clear();
-        await clock.sleep(ASK_AGAIN_MS, signal);
+        await clock.sleep(PEER_RETRY_DELAY_MS, signal);
         continue;
       }
       asked.add(peer);
       await this.fetchWithin(PEER_TIMEOUT_MS, peer);
     }
-    this.holders.clear();
+    this.generationsByPeer.clear();
   }
 
   /** Peers that have a higher generation than this daemon. */
-  private ahead(): string[] {
+  private peersAhead(): string[] {
     const { generation } = this.options.configuration;
-    return [...this.holders].filter(([, theirs]) => theirs > generation).map(([peer]) => peer);
+    return [...this.generationsByPeer].filter(([, theirs]) => theirs > generation).map(([peer]) => peer);
   }
 
   /** Gives up waiting, not the question: an answer that comes later is taken all the same. */
@@ -182,7 +191,7 @@
       this.state.peerBytes += ConfigurationAnswer.encode(answer).finish().length;
       configuration.adoptAnswer(answer, peer);
     } catch (error) {
-      this.holders.delete(peer);
+      this.generationsByPeer.delete(peer);
       this.state.peerFailures++;
       this.state.lastError = asFailure(error).describe();
       this.options.onPeerFailure(peer, this.state.lastError);
--- a/packages/configuration/src/configurationStore.ts
+++ b/packages/configuration/src/configurationStore.ts
@@ -9,11 +9,11 @@
 import { createHash, randomUUID } from 'node:crypto';
 import { type Change, type Sections, differences, joinSections, splitSections } from './sections.js';
 
-const ROW = 'configuration';
-const HISTORY = 50;
-const ATTEMPTS = 30;
-const ATTEMPT_PAUSE_MS = 100;
-const LONGEST_PAUSE_MS = 5000;
+const ROW_KEY = 'configuration';
+const MAX_HISTORY = 50;
+const MAX_ATTEMPTS = 30;
+const RETRY_DELAY_MS = 100;
+const MAX_RETRY_DELAY_MS = 5000;
 
 /** One accepted generation. */
 export interface Generation {
@@ -96,27 +96,27 @@
     const changedNames = new Set(changed.map(change => change.section));
     for (const [name, content] of sections) {
       const object = `section-${createHash('sha256').update(content).digest('hex')}`;
-      if (changedNames.has(name)) await this.put(object, content);
+      if (changedNames.has(name)) await this.writeObject(object, content);
       manifest.sections[name] = { object };
     }
     const applyId = randomUUID();
     const name = `manifest-${applyId}`;
-    await this.put(name, JSON.stringify(manifest));
+    await this.writeObject(name, JSON.stringify(manifest));
     const applied: Generation = {
       generation,
       applyId,
       manifest: name,
       appliedAt: this.clock.date().toISOString(),
     };
-    const recent = [applied, ...(row?.recent ?? [])].slice(0, HISTORY);
+    const recent = [applied, ...(row?.recent ?? [])].slice(0, MAX_HISTORY);
     return { ...applied, recent } satisfies ConfigurationRow;
   }
 
   /** Repeats the conditional write until it is known who won; repeating it can't apply it twice. */
   private async accept(next: ConfigurationRow, version: number, file: OperatorFile): Promise<void> {
-    await this.persistently(async () => {
+    await this.withRetries(async () => {
       const result = await this.platform.commit([
-        { key: ROW, value: JSON.stringify(next), ifVersion: version },
+        { key: ROW_KEY, value: JSON.stringify(next), ifVersion: version },
       ]);
       if (result.committed) return;
       const { value } = await this.readRow();
@@ -126,19 +126,19 @@
   }
 
   /** Objects never change, so that writing one again is harmless. */
-  private put(name: string, content: string): Promise<void> {
-    return this.persistently(() => this.platform.put(name, content));
+  private writeObject(name: string, content: string): Promise<void> {
+    return this.withRetries(() => this.platform.put(name, content));
   }
 
   /** Repeats what is safe to repeat while the platform gives no answer. */
-  private async persistently(action: () => Promise<void>): Promise<void> {
+  private async withRetries(action: () => Promise<void>): Promise<void> {
     for (let attempt = 1; ; attempt++) {
       try {
         return await action();
       } catch (error) {
         const failure = asFailure(error);
-        if (failure.result !== 'platformDown' || attempt === ATTEMPTS) throw failure;
-        await this.clock.sleep(Math.min(LONGEST_PAUSE_MS, ATTEMPT_PAUSE_MS * attempt));
+        if (failure.result !== 'platformDown' || attempt === MAX_ATTEMPTS) throw failure;
+        await this.clock.sleep(Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * attempt));
       }
     }
   }
@@ -152,20 +152,20 @@
   }
 
   private async readRow(): Promise<{ value: ConfigurationRow | undefined; version: number }> {
-    const row = await this.platform.read(ROW);
+    const row = await this.platform.read(ROW_KEY);
     return { value: row && (JSON.parse(row.value) as ConfigurationRow), version: row?.version ?? 0 };
   }
 
   private async load(wanted: Generation): Promise<AppliedVersion> {
-    const manifest = JSON.parse(await this.object(wanted.manifest)) as Manifest;
+    const manifest = JSON.parse(await this.readObject(wanted.manifest)) as Manifest;
     const entries = Object.entries(manifest.sections);
     const sections = new Map<string, string>();
-    for (const [name, { object }] of entries) sections.set(name, await this.object(object));
+    for (const [name, { object }] of entries) sections.set(name, await this.readObject(object));
     joinSections(sections);
     return { generation: wanted.generation, applyId: wanted.applyId, sections };
   }
 
-  private async object(name: string): Promise<string> {
+  private async readObject(name: string): Promise<string> {
     const content = await this.platform.get(name);
     if (content !== undefined) return content;
     throw new Failure(`The object store has no ${name}.`, { result: 'objectMissing' });
--- a/packages/configuration/src/configurationWatch.ts
+++ b/packages/configuration/src/configurationWatch.ts
@@ -9,18 +9,18 @@
 import { type Sections } from './sections.js';
 
 /** How often a daemon that leaves the source to others looks whether it should follow it itself, ms. */
-const DUTY_CHECK_MS = 500;
+const CHECK_INTERVAL_MS = 500;
 /**
  * A daemon that leaves the source to others looks itself after so long, ms: what it would miss if all who follow the source for it had
  * failed in a way that it can't see.
  */
-const OWN_LOOK_MS = 60_000;
+const FALLBACK_READ_INTERVAL_MS = 60_000;
 
 /**
  * A daemon whose reads failed, and for which others now read, looks after so long whether they still do, ms: after it, it may read for others
  * again. Of a failure domain at most six do so (`readers.ts`).
  */
-const LOST_LOOK_MS = 5000;
+const UNREACHABLE_READ_INTERVAL_MS = 5000;
 
 /** A version as a source gives it. */
 export interface SourcedVersion {
@@ -63,11 +63,11 @@
 export class ConfigurationWatch implements AsyncDisposable {
   private readonly stopped = new AbortController();
   private watching: Promise<void> = Promise.resolve();
-  private isLost = false;
+  private isUnreachable = false;
   /** Whether to read, or to wait for what comes after the last call: after one that brought a version, or after one that didn't. */
-  private next: 'read' | 'wait-after-version' | 'wait' = 'read';
-  private doubted = 0;
-  private lookedAt = Number.NEGATIVE_INFINITY;
+  private nextCall: 'read' | 'wait-after-version' | 'wait' = 'read';
+  private mismatchedGeneration = 0;
+  private checkedAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: ConfigurationWatchOptions) {}
 
@@ -81,7 +81,7 @@
    * until it has told.
    */
   doubt(): void {
-    this.doubted = this.options.configuration.generation;
+    this.mismatchedGeneration = this.options.configuration.generation;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -92,86 +92,90 @@
   private async watch(): Promise<void> {
     const { signal } = this.stopped;
     while (!signal.aborted) {
-      if (!this.mayLook()) {
-        this.next = 'read';
-        await this.options.clock.sleep(DUTY_CHECK_MS, signal);
+      if (!this.mayCallSource()) {
+        this.nextCall = 'read';
+        await this.options.clock.sleep(CHECK_INTERVAL_MS, signal);
         continue;
       }
-      this.lookedAt = this.options.clock.now();
+      this.checkedAt = this.options.clock.now();
       // A wait that failed says little: its connection may have been old. The source is read at once on another one.
-      const hasWaited = this.next !== 'read';
-      const begunAt = this.lookedAt;
-      const hasWorked = await this.takeNext(signal);
-      if (hasWorked) await this.keepPace(begunAt, signal);
+      const hasWaited = this.nextCall !== 'read';
+      const begunAt = this.checkedAt;
+      const hasWorked = await this.runNextCall(signal);
+      if (hasWorked) await this.waitForInterval(begunAt, signal);
       if (hasWorked || hasWaited) continue;
       await this.options.clock.sleep(this.options.pauseMs(), signal);
     }
   }
 
-  private async keepPace(begunAt: number, signal: AbortSignal): Promise<void> {
+  private async waitForInterval(begunAt: number, signal: AbortSignal): Promise<void> {
     const { clock, paceMs } = this.options;
     const leftMs = begunAt + (paceMs() ?? 0) - clock.now();
     if (leftMs > 0) await clock.sleep(leftMs, signal);
   }
 
   /** A daemon without any configuration looks, whoever else does. */
-  private mayLook(): boolean {
+  private mayCallSource(): boolean {
     const { clock, configuration, isOnDuty } = this.options;
     const { generation, isConfirmed } = configuration;
-    if (generation === 0 || isOnDuty() || (generation === this.doubted && !isConfirmed)) return true;
-    return clock.now() - this.lookedAt > (this.isLost ? LOST_LOOK_MS : OWN_LOOK_MS);
+    if (generation === 0 || isOnDuty() || (generation === this.mismatchedGeneration && !isConfirmed))
+      return true;
+    return (
+      clock.now() - this.checkedAt >
+      (this.isUnreachable ? UNREACHABLE_READ_INTERVAL_MS : FALLBACK_READ_INTERVAL_MS)
+    );
   }
 
-  private async takeNext(signal: AbortSignal): Promise<boolean> {
+  private async runNextCall(signal: AbortSignal): Promise<boolean> {
     const { configuration, freshness } = this.options;
-    const hasRead = this.next === 'read';
+    const hasRead = this.nextCall === 'read';
     const begun = freshness.moment();
     try {
-      const version = await this.ask(signal);
-      this.next = version ? 'wait-after-version' : 'wait';
-      this.found();
+      const version = await this.callSource(signal);
+      this.nextCall = version ? 'wait-after-version' : 'wait';
+      this.onSourceReached();
       if (version) configuration.adoptWhole(version.generation, version.sections, 'platform');
       freshness.confirmed(begun);
       return true;
     } catch (error) {
       const failure = asFailure(error);
       if (signal.aborted) return false;
-      if (failure.result === 'configurationInvalid') return this.refused(failure, begun);
-      this.next = 'read';
-      this.lost(failure, hasRead);
+      if (failure.result === 'configurationInvalid') return this.onRejectedVersion(failure, begun);
+      this.nextCall = 'read';
+      this.onSourceFailure(failure, hasRead);
       return false;
     }
   }
 
-  private ask(signal: AbortSignal): Promise<SourcedVersion | undefined> {
+  private callSource(signal: AbortSignal): Promise<SourcedVersion | undefined> {
     const { source, waitMs, paceMs } = this.options;
-    if (this.next === 'read') return source.read(signal);
+    if (this.nextCall === 'read') return source.read(signal);
     const isPaced = paceMs() !== undefined;
-    return source.next(isPaced ? 0 : waitMs(this.next === 'wait-after-version'), signal);
+    return source.next(isPaced ? 0 : waitMs(this.nextCall === 'wait-after-version'), signal);
   }
 
   /**
    * The source answers, so that there is nothing to repeat until it has another version. What makes no sense takes nothing away: the version before
    * stays in force, and is the newest that may be.
    */
-  private refused(failure: Failure, begun: Moment): boolean {
+  private onRejectedVersion(failure: Failure, begun: Moment): boolean {
     this.options.freshness.confirmed(begun);
-    this.next = 'wait';
-    this.found();
+    this.nextCall = 'wait';
+    this.onSourceReached();
     this.options.log('A version was refused.', { reason: failure.describe() });
     return true;
   }
 
-  private found(): void {
-    if (this.isLost) this.options.log('The source is back.', {});
-    this.isLost = false;
+  private onSourceReached(): void {
+    if (this.isUnreachable) this.options.log('The source is back.', {});
+    this.isUnreachable = false;
     this.options.onReach(true);
   }
 
   /** Others are told after a read: a wait may have failed for the age of its connection alone. */
-  private lost(failure: Failure, hasRead: boolean): void {
-    if (!this.isLost) this.options.log('The source is lost.', { reason: failure.describe() });
-    this.isLost = true;
+  private onSourceFailure(failure: Failure, hasRead: boolean): void {
+    if (!this.isUnreachable) this.options.log('The source is lost.', { reason: failure.describe() });
+    this.isUnreachable = true;
     if (hasRead) this.options.onReach(false);
   }
 }
--- a/packages/configuration/src/freshness.ts
+++ b/packages/configuration/src/freshness.ts
@@ -11,7 +11,7 @@
 
 /** A moment, as two clocks of this VM have it, ms. Only differences mean anything. */
 export interface Moment {
-  readonly steady: number;
+  readonly monotonic: number;
   readonly date: number;
 }
 
@@ -32,7 +32,7 @@
 
 /** The youngest proof that this daemon has. */
 export class Freshness {
-  private proven: Moment | undefined;
+  private provenAt: Moment | undefined;
 
   constructor(
     private readonly clock: Clock,
@@ -41,17 +41,17 @@
 
   /** The present moment: to be taken before a read is begun, or a question is asked. */
   moment(): Moment {
-    return { steady: this.clock.now(), date: this.clock.date().getTime() };
+    return { monotonic: this.clock.now(), date: this.clock.date().getTime() };
   }
 
   /** How long ago what is in force was known to be the newest, ms; infinite if it never was. */
   get ageMs(): number {
-    return this.proven ? this.since(this.proven) : Number.POSITIVE_INFINITY;
+    return this.provenAt ? this.elapsedMs(this.provenAt) : Number.POSITIVE_INFINITY;
   }
 
   /** A read of the platform that was begun then found nothing newer than what is in force now. */
   confirmed(begun: Moment): void {
-    if (this.configuration.generation > 0) this.take(begun);
+    if (this.configuration.generation > 0) this.offer(begun);
   }
 
   /**
@@ -63,18 +63,18 @@
     const isOther = generation === configuration.generation && shortDigest !== configuration.shortDigest;
     const isUsable = generation > 0 && generation <= configuration.generation && !isOther;
     if (!isUsable || !(ageMs >= 0)) return;
-    this.take({ steady: asked.steady - ageMs, date: asked.date - ageMs });
+    this.offer({ monotonic: asked.monotonic - ageMs, date: asked.date - ageMs });
   }
 
-  private take(moment: Moment): void {
-    if (this.since(moment) < this.ageMs) this.proven = moment;
+  private offer(moment: Moment): void {
+    if (this.elapsedMs(moment) < this.ageMs) this.provenAt = moment;
   }
 
   /**
    * By the clock that went on more: the steady one of most systems stands still while the VM is suspended, and the time of day may be set back. One
    * that is set forward makes proofs too old for a moment, until the next one.
    */
-  private since({ steady, date }: Moment): number {
-    return Math.max(this.clock.now() - steady, this.clock.date().getTime() - date);
+  private elapsedMs({ monotonic, date }: Moment): number {
+    return Math.max(this.clock.now() - monotonic, this.clock.date().getTime() - date);
   }
 }
--- a/packages/membership/src/broadcasts.ts
+++ b/packages/membership/src/broadcastQueue.ts
@@ -1,24 +1,24 @@
 /** News waiting to be passed on, each piece a bounded number of times. */
 
 /** How pieces of one kind are told apart, and how long they are. */
-export interface BroadcastKind<T> {
+export interface ItemType<T> {
   /** A newer piece with the same key takes the place of the older one. */
   readonly keyOf: (news: T) => string;
   /** Encoded size, bytes. */
   readonly sizeOf: (news: T) => number;
 }
 
-interface Entry<T> {
-  readonly news: T;
+interface QueuedItem<T> {
+  readonly item: T;
   readonly bytes: number;
   sent: number;
 }
 
 /** The queue of one kind of news; the least often sent goes first. */
-export class Broadcasts<T> {
-  private readonly entries = new Map<string, Entry<T>>();
+export class BroadcastQueue<T> {
+  private readonly entries = new Map<string, QueuedItem<T>>();
 
-  constructor(private readonly kind: BroadcastKind<T>) {}
+  constructor(private readonly kind: ItemType<T>) {}
 
   get size(): number {
     return this.entries.size;
@@ -27,7 +27,7 @@
   /** Queues a piece in place of an older one with the same key. */
   add(news: T): void {
     const { keyOf, sizeOf } = this.kind;
-    this.entries.set(keyOf(news), { news, bytes: sizeOf(news) + FRAMING_BYTES, sent: 0 });
+    this.entries.set(keyOf(news), { item: news, bytes: sizeOf(news) + FRAMING_BYTES, sent: 0 });
   }
 
   /** Takes what fits into `budget` bytes; an entry goes for good after `limit` times. */
@@ -38,7 +38,7 @@
       if (entry.bytes > left) break;
       left -= entry.bytes;
       entry.sent++;
-      taken.push(entry.news);
+      taken.push(entry.item);
       if (entry.sent >= limit) this.entries.delete(key);
     }
     return taken;
--- a/packages/membership/src/localHealth.ts
+++ b/packages/membership/src/localHealth.ts
@@ -1,6 +1,6 @@
 /** How far this daemon should doubt itself before it doubts others (after Lifeguard). */
 
-const WORST = 8;
+const MAX_SCORE = 8;
 
 /** A score from 0, healthy, upwards; time-outs are stretched by it. */
 export class LocalHealth {
@@ -16,12 +16,12 @@
   }
 
   /** A probe was answered. */
-  good(): void {
+  recordSuccess(): void {
     this.current = Math.max(0, this.current - 1);
   }
 
   /** A probe failed, or this daemon was itself suspected. */
-  bad(): void {
-    this.current = Math.min(WORST, this.current + 1);
+  recordFailure(): void {
+    this.current = Math.min(MAX_SCORE, this.current + 1);
   }
 }
--- a/packages/membership/src/meeting.ts
+++ b/packages/membership/src/meeting.ts
@@ -10,17 +10,17 @@
  * Pause after a failed round of a daemon that has something to write, or knows nobody, ms: two rounds fit into the 2 s in which the living
  * have to be back after an outage.
  */
-const RETRY_MS = 700;
+const RETRY_DELAY_MS = 700;
 /** Pause while nobody else is known, ms. */
-const ALONE_MS = 1000;
+const ALONE_INTERVAL_MS = 1000;
 /** Pause between rounds of a daemon that tends the table, ms. Gossip brings newcomers much sooner; a round costs a read. */
-const TENDING_MS = 15_000;
+const MAINTENANCE_INTERVAL_MS = 15_000;
 /** Pause between rounds of the others, ms: all that they look after is their own row, which nobody else should remove. */
-const OWN_ROW_MS = 60_000;
+const OWN_ROW_INTERVAL_MS = 60_000;
 /** A row of a member that gossip has taken for gone is removed when it has not changed for so long, ms. */
 const REMOVE_AFTER_MS = 60_000;
 /** Tries of one write, each in place of the version that the one before found: no one but this daemon writes its row often. */
-const WRITE_TRIES = 3;
+const MAX_WRITE_ATTEMPTS = 3;
 /** How long a departure may wait for the table, ms; its upstream waits a second for the answer. */
 const RECORD_TIMEOUT_MS = 400;
 
@@ -109,19 +109,19 @@
   private version = 0;
   /** Changes of what the row should say, and how many of them are known to be in it. */
   private changes = 0;
-  private written = 0;
+  private writtenChanges = 0;
   /** Ends the pause between two rounds. */
-  private resting = new AbortController();
+  private delayAborter = new AbortController();
   private isLost = false;
-  private first: () => void = () => undefined;
+  private resolveFirstRound: () => void = () => undefined;
   /** Resolves after the first round that worked. */
-  readonly met = new Promise<void>(resolve => (this.first = resolve));
+  readonly met = new Promise<void>(resolve => (this.resolveFirstRound = resolve));
 
   constructor(private readonly options: MeetingOptions) {}
 
   /** Starts to keep the row. */
   start(): void {
-    this.running = this.keep();
+    this.running = this.runRounds();
   }
 
   /**
@@ -137,7 +137,7 @@
     try {
       await this.write(limit.signal);
     } catch (error) {
-      this.resting.abort();
+      this.delayAborter.abort();
       log('The own row could not be written; it is tried again.', { reason: asFailure(error).describe() });
     } finally {
       timer[Symbol.dispose]();
@@ -149,27 +149,27 @@
     await this.running;
   }
 
-  private async keep(): Promise<void> {
+  private async runRounds(): Promise<void> {
     const { clock, random } = this.options;
     const { signal } = this.stopped;
     while (!signal.aborted) {
-      await this.round(signal);
-      this.resting = new AbortController();
-      const untilWoken = AbortSignal.any([signal, this.resting.signal]);
-      await clock.sleep(this.pauseMs() * (0.75 + random() / 2), untilWoken);
+      await this.runRound(signal);
+      this.delayAborter = new AbortController();
+      const untilWoken = AbortSignal.any([signal, this.delayAborter.signal]);
+      await clock.sleep(this.intervalMs() * (0.75 + random() / 2), untilWoken);
     }
   }
 
   /** An outage of the table is nothing to ask about for those who have their row and know others. */
-  private pauseMs(): number {
+  private intervalMs(): number {
     const { membership, isTender } = this.options;
-    if (this.mustWrite) return RETRY_MS;
-    if (membership.aliveCount() === 0) return ALONE_MS;
-    return isTender() ? TENDING_MS : OWN_ROW_MS;
+    if (this.mustWrite) return RETRY_DELAY_MS;
+    if (membership.aliveCount() === 0) return ALONE_INTERVAL_MS;
+    return isTender() ? MAINTENANCE_INTERVAL_MS : OWN_ROW_INTERVAL_MS;
   }
 
   /** The row comes first, so that of two daemons that start at once one sees the other. */
-  private async round(signal: AbortSignal): Promise<void> {
+  private async runRound(signal: AbortSignal): Promise<void> {
     const { table, log } = this.options;
     try {
       if (!this.hasCreated) await this.create(signal);
@@ -183,7 +183,7 @@
       await this.removeGone(rows, signal);
       if (this.isLost) log('The table is back.', { rows: rows.length });
       this.isLost = false;
-      this.first();
+      this.resolveFirstRound();
     } catch (error) {
       if (!this.isLost && !signal.aborted) log('The table is lost.', { reason: asFailure(error).describe() });
       this.isLost = true;
@@ -196,7 +196,7 @@
     const { changes } = this;
     const created = await table.create(this.row(), signal);
     const { isDone, former } = created;
-    if (isDone) this.written = changes;
+    if (isDone) this.writtenChanges = changes;
     if (former) onFormer(former);
     this.hasCreated = true;
     this.version = created.version;
@@ -204,7 +204,7 @@
   }
 
   private get mustWrite(): boolean {
-    return !this.hasRow || this.written < this.changes;
+    return !this.hasRow || this.writtenChanges < this.changes;
   }
 
   /**
@@ -212,12 +212,12 @@
    * then in place of what it says by now. Where there is another version, its place is taken at once.
    */
   private async write(signal: AbortSignal): Promise<void> {
-    for (let left = WRITE_TRIES; left > 0; left--) {
+    for (let left = MAX_WRITE_ATTEMPTS; left > 0; left--) {
       const { changes } = this;
       const put = await this.options.table.put(this.row(), this.version, signal);
       this.version = put.version;
       if (!put.isDone) continue;
-      this.written = Math.max(this.written, changes);
+      this.writtenChanges = Math.max(this.writtenChanges, changes);
       this.hasRow = true;
       return;
     }
--- a/packages/membership/src/memberTable.ts
+++ b/packages/membership/src/memberTable.ts
@@ -18,9 +18,9 @@
 /** Members by address; only ever replaced by newer records. */
 export class MemberTable {
   private readonly members = new Map<string, Member>();
-  private readonly byGossip = new Map<string, string>();
+  private readonly byGossipAddress = new Map<string, string>();
   private readonly buckets = Array.from({ length: BUCKETS }, () => new Set<string>());
-  private readonly sums = new Uint32Array(BUCKETS);
+  private readonly bucketDigests = new Uint32Array(BUCKETS);
 
   get size(): number {
     return this.members.size;
@@ -32,7 +32,7 @@
 
   /** The member behind a gossip address. */
   atGossip(gossipAddress: string): Member | undefined {
-    return this.members.get(this.byGossip.get(gossipAddress) ?? '');
+    return this.members.get(this.byGossipAddress.get(gossipAddress) ?? '');
   }
 
   all(): IterableIterator<Member> {
@@ -47,7 +47,7 @@
     this.toggle(bucket, known);
     this.toggle(bucket, member);
     this.members.set(member.address, member);
-    this.byGossip.set(member.gossipAddress, member.address);
+    this.byGossipAddress.set(member.gossipAddress, member.address);
     this.buckets[bucket]?.add(member.address);
     return true;
   }
@@ -62,21 +62,21 @@
 
   /** One digest for each bucket; equal tables have equal digests. */
   digests(): number[] {
-    return [...this.sums];
+    return [...this.bucketDigests];
   }
 
   /** The members of all buckets whose digests differ from `theirs`. */
   differing(theirs: readonly number[]): Member[] {
     return this.buckets.flatMap((addresses, bucket) => {
-      if (theirs[bucket] === this.sums[bucket]) return [];
+      if (theirs[bucket] === this.bucketDigests[bucket]) return [];
       return [...addresses].flatMap(address => this.members.get(address) ?? []);
     });
   }
 
   private toggle(bucket: number, member: Member | undefined): void {
     if (!member) return;
-    const sum = this.sums[bucket] ?? 0;
-    this.sums[bucket] = sum ^ crc32(`${member.address} ${versionOf(member)}`);
+    const sum = this.bucketDigests[bucket] ?? 0;
+    this.bucketDigests[bucket] = sum ^ crc32(`${member.address} ${versionOf(member)}`);
   }
 }
 
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -13,44 +13,44 @@
   isAddress,
   isUsableMember,
 } from '@cleatquay/protocol';
-import { Broadcasts } from './broadcasts.js';
+import { BroadcastQueue } from './broadcastQueue.js';
 import { LocalHealth } from './localHealth.js';
 import { MemberTable } from './memberTable.js';
 import { type KnownConfiguration, type MembershipOptions } from './membershipOptions.js';
 import { Probes } from './probes.js';
 
-const PERIOD_MS = 1000;
+const PROBE_INTERVAL_MS = 1000;
 const ACK_TIMEOUT_MS = 300;
 const INDIRECT_PROBES = 3;
 const SUSPICION_PERIODS = 4;
-const SYNC_EVERY_PERIODS = 30;
-const SYNC_WITH_GONE = 0.2;
+const SYNC_INTERVAL_ROUNDS = 30;
+const SYNC_WITH_GONE_PROBABILITY = 0.2;
 const FORGET_AFTER_MS = 2 * 3_600_000;
-const EAGER_FANOUT = 3;
-const EAGER_DELAY_MS = 20;
-const EAGER_AGAIN_MS = 200;
-const SYNC_AGAIN_MS = 1000;
-const BULK_RUMOURS = 30;
-const DATAGRAM_BUDGET = 1100;
+const FANOUT = 3;
+const BROADCAST_DELAY_MS = 20;
+const SECOND_BROADCAST_DELAY_MS = 200;
+const SECOND_SYNC_DELAY_MS = 1000;
+const MAX_BULK_BROADCASTS = 30;
+const MAX_DATAGRAM_BYTES = 1100;
 /** Part of a datagram that findings take, bytes: one of an end with 64 requests, and some more. */
-const FINDINGS_BUDGET = 700;
+const MAX_FINDINGS_BYTES = 700;
 /** A member that knows other verdicts is told all of ours at most so often, ms. */
-const TELL_AGAIN_MS = 500;
+const VERDICTS_INTERVAL_MS = 500;
 /**
  * How often a daemon passes a piece of news on: at least so often, and so many times the binary logarithm of the fleet's size. More
  * often costs far more bytes and reaches hardly anybody else.
  */
-const FEWEST_TRANSMISSIONS = 8;
-const TRANSMISSIONS = 0.75;
+const MIN_TRANSMISSIONS = 8;
+const TRANSMISSIONS_FACTOR = 0.75;
 /**
  * Up to so many daemons that were learned of are all met at once. Each answers with all that it knows, so that a fleet of hundreds that met
  * everybody would, at a start, exchange its table by the square of its size.
  */
-const MOST_MET = 16;
+const MAX_JOINS = 16;
 /**
  * Of more than that, so many at random. If none of them answers, the table is read again within about a second.
  */
-const MET_OF_MANY = 3;
+const SAMPLED_JOINS = 3;
 
 /** This daemon's view of the fleet. */
 export class Membership<Asked = unknown> implements AsyncDisposable {
@@ -59,31 +59,31 @@
   readonly traffic = { sentBytes: 0, receivedBytes: 0, sentDatagrams: 0, invalid: 0 };
   private self: Member;
   private configuration: KnownConfiguration = { generation: 0, shortDigest: 0 };
-  private heardAt: number;
+  private receivedAt: number;
   private readonly probes: Probes<Asked | undefined>;
   private readonly suspicions = new Map<string, Timer>();
   private readonly goneSince = new Map<string, number>();
-  private readonly broadcasts = new Broadcasts<Member>({
+  private readonly memberBroadcasts = new BroadcastQueue<Member>({
     keyOf: member => member.address,
     sizeOf: member => Member.encode(member).finish().length,
   });
-  private readonly findings = new Broadcasts<Finding>({
+  private readonly findingBroadcasts = new BroadcastQueue<Finding>({
     keyOf: finding => Buffer.from(Finding.encode(finding).finish()).toString('base64'),
     sizeOf: finding => Finding.encode(finding).finish().length,
   });
   /** When each member was last told all verdicts, clock ms. */
-  private readonly toldAt = new Map<string, number>();
+  private readonly verdictsSentAt = new Map<string, number>();
   private readonly stopped = new AbortController();
-  private order: string[] = [];
-  private eager: Timer | undefined;
-  private eagerAgain: Timer | undefined;
-  private syncAgain: Timer | undefined;
+  private probeOrder: string[] = [];
+  private broadcastTimer: Timer | undefined;
+  private secondBroadcastTimer: Timer | undefined;
+  private secondSyncTimer: Timer | undefined;
   private running: Promise<void> = Promise.resolve();
 
   constructor(private readonly options: MembershipOptions<Asked>) {
     this.self = { ...options.self, incarnation: 1, state: 'ALIVE', upstreams: [], isPlatformLost: false };
     this.table.put(this.self);
-    this.heardAt = options.clock.now();
+    this.receivedAt = options.clock.now();
     this.probes = new Probes(options.clock, options.random, () => options.proofs?.asking());
     options.datagrams.receive(bytes => this.receive(bytes));
   }
@@ -107,7 +107,7 @@
   /** Gets in touch with daemons that were learned of by other means than gossip; of many, with some, who know the others. */
   meet(gossipAddresses: readonly string[]): void {
     const unknown = gossipAddresses.filter(address => this.table.atGossip(address)?.state !== 'ALIVE');
-    const met = unknown.length > MOST_MET ? this.shuffle(unknown).slice(0, MET_OF_MANY) : unknown;
+    const met = unknown.length > MAX_JOINS ? this.shuffle(unknown).slice(0, SAMPLED_JOINS) : unknown;
     for (const address of met) this.sendSync(address, true);
   }
 
@@ -128,7 +128,7 @@
 
   /** Clock time at which another member was last heard, ms; before the first, the start. */
   get lastHeardAt(): number {
-    return this.heardAt;
+    return this.receivedAt;
   }
 
   /** Tells the fleet of this daemon's upstreams. */
@@ -139,7 +139,7 @@
   /** Tells the fleet which configuration this daemon has. */
   setConfiguration({ generation, shortDigest }: KnownConfiguration): void {
     this.configuration = { generation, shortDigest };
-    this.scheduleEager();
+    this.scheduleBroadcast();
   }
 
   /**
@@ -147,9 +147,9 @@
    * callers whose requests failed come again within some ms, at other daemons.
    */
   spread(finding: Finding): void {
-    this.findings.add(finding);
-    if (finding.kind !== 'ENDED_WELL') this.sendEagerly();
-    this.scheduleEager();
+    this.findingBroadcasts.add(finding);
+    if (finding.kind !== 'ENDED_WELL') this.sendBroadcast();
+    this.scheduleBroadcast();
   }
 
   /** Tells the fleet whether this daemon's reads of the platform fail. */
@@ -160,14 +160,14 @@
   /** Says goodbye, so that nobody has to find out. */
   leave(): void {
     this.assertSelf({ state: 'LEFT' });
-    for (const peer of this.randomAlive(EAGER_FANOUT * 2)) this.send(peer.gossipAddress, {});
+    for (const peer of this.randomAlive(FANOUT * 2)) this.send(peer.gossipAddress, {});
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.stopped.abort();
-    this.eager?.[Symbol.dispose]();
-    this.eagerAgain?.[Symbol.dispose]();
-    this.syncAgain?.[Symbol.dispose]();
+    this.broadcastTimer?.[Symbol.dispose]();
+    this.secondBroadcastTimer?.[Symbol.dispose]();
+    this.secondSyncTimer?.[Symbol.dispose]();
     this.probes[Symbol.dispose]();
     for (const timer of this.suspicions.values()) timer[Symbol.dispose]();
     await this.running;
@@ -179,7 +179,7 @@
       self: this.self,
       configuration: this.configuration,
       healthScore: this.health.score,
-      queuedChanges: this.broadcasts.size,
+      queuedChanges: this.memberBroadcasts.size,
       traffic: this.traffic,
       members: [...this.table.all()],
     };
@@ -191,10 +191,10 @@
       const start = clock.now();
       const target = this.nextTarget();
       if (target) await this.probe(target);
-      if (round % SYNC_EVERY_PERIODS === 0) this.syncWithSomeone();
+      if (round % SYNC_INTERVAL_ROUNDS === 0) this.syncWithRandomMember();
       if (this.isAlone()) for (const seed of this.options.seeds) this.sendSync(seed, true);
-      this.forgetOld();
-      await clock.sleep(Math.max(0, PERIOD_MS - (clock.now() - start)), this.stopped.signal);
+      this.removeExpired();
+      await clock.sleep(Math.max(0, PROBE_INTERVAL_MS - (clock.now() - start)), this.stopped.signal);
     }
   }
 
@@ -203,15 +203,15 @@
     const { clock } = this.options;
     const start = clock.now();
     const timeout = ACK_TIMEOUT_MS * this.health.multiplier;
-    if (await this.ping(target.gossipAddress, timeout)) return this.health.good();
+    if (await this.ping(target.gossipAddress, timeout)) return this.health.recordSuccess();
     const helpers = this.randomAlive(INDIRECT_PROBES, target.address);
-    const answered = this.probes.ask(timeout, sequence => {
+    const answered = this.probes.start(timeout, sequence => {
       const ping = { sequence, target: target.gossipAddress };
       for (const helper of helpers) this.send(helper.gossipAddress, { ping });
     });
-    if (await answered) return this.health.good();
-    this.health.bad();
-    const overslept = clock.now() - start > 2 * timeout + PERIOD_MS;
+    if (await answered) return this.health.recordSuccess();
+    this.health.recordFailure();
+    const overslept = clock.now() - start > 2 * timeout + PROBE_INTERVAL_MS;
     if (!overslept) this.suspect(target);
   }
 
@@ -231,7 +231,7 @@
   }
 
   private ping(to: string, timeout: number): Promise<boolean> {
-    return this.probes.ask(timeout, sequence => this.send(to, { ping: { sequence, target: '' } }));
+    return this.probes.start(timeout, sequence => this.send(to, { ping: { sequence, target: '' } }));
   }
 
   private suspect(target: Member): void {
@@ -258,20 +258,21 @@
    * regions heal, rumours of everybody to everybody would fill the network for minutes. They sync again soon instead.
    */
   private passOn(member: Member, isBulk: boolean): void {
-    if (isBulk) this.syncAgain ??= this.options.clock.after(SYNC_AGAIN_MS, () => this.syncSoon());
-    if (isBulk && this.broadcasts.size >= BULK_RUMOURS) return;
-    this.broadcasts.add(member);
-    this.scheduleEager();
+    if (isBulk)
+      this.secondSyncTimer ??= this.options.clock.after(SECOND_SYNC_DELAY_MS, () => this.syncSoon());
+    if (isBulk && this.memberBroadcasts.size >= MAX_BULK_BROADCASTS) return;
+    this.memberBroadcasts.add(member);
+    this.scheduleBroadcast();
   }
 
   private syncSoon(): void {
-    this.syncAgain = undefined;
-    this.syncWithSomeone();
+    this.secondSyncTimer = undefined;
+    this.syncWithRandomMember();
   }
 
   private startSuspicion(member: Member): void {
     const scale = Math.max(1, Math.log10(this.table.size));
-    const ms = SUSPICION_PERIODS * scale * PERIOD_MS * this.health.multiplier;
+    const ms = SUSPICION_PERIODS * scale * PROBE_INTERVAL_MS * this.health.multiplier;
     const expire = () => this.accept({ ...member, state: 'DEAD' });
     this.suspicions.set(member.address, this.options.clock.after(ms, expire));
   }
@@ -281,7 +282,7 @@
     if (claim.epoch > this.self.epoch) return this.assertSelf({ epoch: claim.epoch + 1 });
     const accused = claim.epoch === this.self.epoch && claim.state !== 'ALIVE' && this.self.state === 'ALIVE';
     if (!accused || claim.incarnation < this.self.incarnation) return;
-    this.health.bad();
+    this.health.recordFailure();
     this.assertSelf({ incarnation: claim.incarnation });
   }
 
@@ -289,27 +290,27 @@
     const incarnation = Math.max(this.self.incarnation, change.incarnation ?? 0) + 1;
     this.self = { ...this.self, ...change, incarnation };
     this.table.put(this.self);
-    this.broadcasts.add(this.self);
-    this.scheduleEager();
+    this.memberBroadcasts.add(this.self);
+    this.scheduleBroadcast();
   }
 
   /**
    * News goes to a few members at once, so that it is everywhere long before probes would carry it. One round misses some; a second one, a little
    * later, leaves hardly any to the probes.
    */
-  private scheduleEager(): void {
-    if (this.eager || this.stopped.signal.aborted) return;
+  private scheduleBroadcast(): void {
+    if (this.broadcastTimer || this.stopped.signal.aborted) return;
     const { clock } = this.options;
-    this.eager = clock.after(EAGER_DELAY_MS, () => {
-      this.eager = undefined;
-      this.sendEagerly();
-      this.eagerAgain?.[Symbol.dispose]();
-      this.eagerAgain = clock.after(EAGER_AGAIN_MS, () => this.sendEagerly());
+    this.broadcastTimer = clock.after(BROADCAST_DELAY_MS, () => {
+      this.broadcastTimer = undefined;
+      this.sendBroadcast();
+      this.secondBroadcastTimer?.[Symbol.dispose]();
+      this.secondBroadcastTimer = clock.after(SECOND_BROADCAST_DELAY_MS, () => this.sendBroadcast());
     });
   }
 
-  private sendEagerly(): void {
-    for (const peer of this.randomAlive(EAGER_FANOUT)) this.send(peer.gossipAddress, {});
+  private sendBroadcast(): void {
+    for (const peer of this.randomAlive(FANOUT)) this.send(peer.gossipAddress, {});
   }
 
   private receive(bytes: Uint8Array): void {
@@ -326,12 +327,12 @@
       return;
     }
     if (this.options.isCut?.(gossip.from)) return;
-    this.heardAt = this.options.clock.now();
+    this.receivedAt = this.options.clock.now();
     for (const member of gossip.members) {
       if (isUsableMember(member)) this.accept(member, gossip.bulk);
       else this.traffic.invalid++;
     }
-    this.takeFindings(gossip);
+    this.handleFindings(gossip);
     const { generation, digest: shortDigest, from } = gossip;
     if (generation > 0) this.options.onConfiguration({ generation, shortDigest }, from);
     if (gossip.ack) this.handleAck(gossip.ack, { generation, shortDigest });
@@ -342,34 +343,34 @@
   }
 
   /** What was missed while this daemon or the other stood still, was cut off or was away is made up for: each tells the other its verdicts. */
-  private takeFindings({ findings: heard, findingsDigest, from }: Gossip): void {
+  private handleFindings({ findings: heard, findingsDigest, from }: Gossip): void {
     const { findings, clock } = this.options;
     if (!findings) return;
     for (const finding of heard) if (findings.heard(finding)) this.spread(finding);
     const now = clock.now();
     if (
       findingsDigest === findings.digest() ||
-      now - (this.toldAt.get(from) ?? -TELL_AGAIN_MS) < TELL_AGAIN_MS
+      now - (this.verdictsSentAt.get(from) ?? -VERDICTS_INTERVAL_MS) < VERDICTS_INTERVAL_MS
     )
       return;
-    this.toldAt.set(from, now);
+    this.verdictsSentAt.set(from, now);
     const verdicts = [...findings.verdicts()];
-    while (verdicts.length > 0) this.send(from, {}, [], verdicts.splice(0, VERDICTS_A_DATAGRAM));
+    while (verdicts.length > 0) this.send(from, {}, [], verdicts.splice(0, VERDICTS_PER_DATAGRAM));
   }
 
   private handleAck({ sequence, proofAge }: Ack, configuration: KnownConfiguration): void {
-    const asked = this.probes.answered(sequence);
+    const asked = this.probes.acknowledge(sequence);
     if (asked !== undefined && proofAge > 0)
       this.options.proofs?.heard({ ...configuration, ageMs: proofAge - 1 }, asked);
   }
 
   private ackOf(sequence: number): Ack {
     const ageMs = this.options.proofs?.ageMs() ?? Number.POSITIVE_INFINITY;
-    return { sequence, proofAge: ageMs < OLDEST_PROOF_MS ? Math.ceil(ageMs) + 1 : 0 };
+    return { sequence, proofAge: ageMs < MAX_PROOF_AGE_MS ? Math.ceil(ageMs) + 1 : 0 };
   }
 
   private handlePing(ping: Ping, from: string): void {
-    if (ping.target === '') return this.answerPing(ping, from);
+    if (ping.target === '') return this.acknowledgePing(ping, from);
     if (!isAddress(ping.target)) return;
     void this.ping(ping.target, ACK_TIMEOUT_MS).then(answered => {
       if (answered) this.send(from, { ack: this.ackOf(ping.sequence) });
@@ -377,7 +378,7 @@
   }
 
   /** A member thought to be gone hears of it, so that it can refute. */
-  private answerPing(ping: Ping, from: string): void {
+  private acknowledgePing(ping: Ping, from: string): void {
     const sender = this.table.atGossip(from);
     const news = sender && sender.state !== 'ALIVE' ? [sender] : undefined;
     this.send(from, { ack: this.ackOf(ping.sequence) }, news);
@@ -389,17 +390,17 @@
     if (sync.reply) this.sendSync(from, false);
   }
 
-  private syncWithSomeone(): void {
+  private syncWithRandomMember(): void {
     const { random, seeds } = this.options;
     const gone = [...this.goneSince.keys()];
     const lost = gone[Math.floor(random() * gone.length)];
-    if (lost !== undefined && random() < SYNC_WITH_GONE) {
+    if (lost !== undefined && random() < SYNC_WITH_GONE_PROBABILITY) {
       this.sendSync(this.table.get(lost)?.gossipAddress ?? '', true);
       return;
     }
     const seed = seeds[Math.floor(random() * seeds.length)];
     const peer = this.randomAlive(1)[0]?.gossipAddress;
-    const target = random() < SYNC_WITH_GONE ? (seed ?? peer) : (peer ?? seed);
+    const target = random() < SYNC_WITH_GONE_PROBABILITY ? (seed ?? peer) : (peer ?? seed);
     if (target !== undefined) this.sendSync(target, true);
   }
 
@@ -408,12 +409,16 @@
     this.send(to, { sync: { digests: this.table.digests(), reply } }, [this.self]);
   }
 
-  private send(to: string, what: Said, members?: Member[], verdicts?: Finding[]): void {
+  private send(to: string, what: GossipFields, members?: Member[], verdicts?: Finding[]): void {
     if (this.options.isCut?.(to)) return;
-    const limit = Math.max(FEWEST_TRANSMISSIONS, Math.ceil(TRANSMISSIONS * Math.log2(this.table.size + 1)));
-    const findings = verdicts ?? (members ? [] : this.findings.take(FINDINGS_BUDGET, limit));
+    const limit = Math.max(
+      MIN_TRANSMISSIONS,
+      Math.ceil(TRANSMISSIONS_FACTOR * Math.log2(this.table.size + 1)),
+    );
+    const findings = verdicts ?? (members ? [] : this.findingBroadcasts.take(MAX_FINDINGS_BYTES, limit));
     const left =
-      DATAGRAM_BUDGET - findings.reduce((sum, finding) => sum + Finding.encode(finding).finish().length, 0);
+      MAX_DATAGRAM_BYTES -
+      findings.reduce((sum, finding) => sum + Finding.encode(finding).finish().length, 0);
     const bytes = Gossip.encode({
       from: this.self.gossipAddress,
       ping: what.ping,
@@ -422,7 +427,7 @@
       bulk: what.bulk ?? false,
       quotaQuestion: what.quotaQuestion,
       quotaAnswer: what.quotaAnswer,
-      members: members ?? this.broadcasts.take(left, limit),
+      members: members ?? this.memberBroadcasts.take(left, limit),
       findings,
       findingsDigest: this.options.findings?.digest() ?? 0,
       generation: this.configuration.generation,
@@ -436,11 +441,11 @@
   /** The next member in an order that is shuffled anew each time around. */
   private nextTarget(): Member | undefined {
     for (let tries = 0; tries < 2; tries++) {
-      for (let address = this.order.pop(); address !== undefined; address = this.order.pop()) {
+      for (let address = this.probeOrder.pop(); address !== undefined; address = this.probeOrder.pop()) {
         const member = this.table.get(address);
         if (member && isUp(member) && address !== this.self.address) return member;
       }
-      this.order = this.shuffle([...this.table.all()].map(member => member.address));
+      this.probeOrder = this.shuffle([...this.table.all()].map(member => member.address));
     }
     return undefined;
   }
@@ -469,11 +474,11 @@
     return this.options.seeds.length > 0 && this.randomAlive(1).length === 0;
   }
 
-  private forgetOld(): void {
+  private removeExpired(): void {
     const old = this.options.clock.now() - FORGET_AFTER_MS;
     for (const [address, since] of this.goneSince) {
       if (since > old) continue;
-      this.toldAt.delete(this.table.get(address)?.gossipAddress ?? '');
+      this.verdictsSentAt.delete(this.table.get(address)?.gossipAddress ?? '');
       this.table.remove(address);
       this.goneSince.delete(address);
     }
@@ -485,18 +490,18 @@
 }
 
 /** Older proofs say nothing that anybody could use, ms. */
-const OLDEST_PROOF_MS = 60_000;
+const MAX_PROOF_AGE_MS = 60_000;
 /** What one datagram says besides news. */
-type Said = Partial<Pick<Gossip, 'ping' | 'ack' | 'sync' | 'bulk' | 'quotaQuestion' | 'quotaAnswer'>>;
+type GossipFields = Partial<Pick<Gossip, 'ping' | 'ack' | 'sync' | 'bulk' | 'quotaQuestion' | 'quotaAnswer'>>;
 
 const MEMBER_BYTES = 150;
 /** A verdict has up to 400 bytes. */
-const VERDICTS_A_DATAGRAM = 2;
+const VERDICTS_PER_DATAGRAM = 2;
 
 function membersThatFit(members: Member[]): number {
   const bytes = (count: number) => members.slice(0, count).reduce((sum, m) => sum + sizeOf(m), 0);
   let count = 1;
-  while (count < members.length && bytes(count + 1) <= DATAGRAM_BUDGET) count++;
+  while (count < members.length && bytes(count + 1) <= MAX_DATAGRAM_BYTES) count++;
   return count;
 }
 
--- a/packages/settings/src/callGraph.ts
+++ b/packages/settings/src/callGraph.ts
@@ -76,7 +76,7 @@
   /** Fails for calls to nowhere, cycles, and idempotent routes that reach one that isn't. */
   check(): void {
     for (const route of this.byName.values()) this.checkCalls(route);
-    for (const route of this.byName.values()) this.checkBelow(route, [route.name]);
+    for (const route of this.byName.values()) this.checkReachable(route, [route.name]);
   }
 
   private compile(service: string, name: string, route: RouteDeclaration): Route {
@@ -104,7 +104,7 @@
     });
   }
 
-  private checkBelow(top: Route, path: RouteName[]): void {
+  private checkReachable(top: Route, path: RouteName[]): void {
     const last = this.byName.get(path.at(-1) ?? '');
     for (const name of last?.calls ?? []) {
       if (path.includes(name)) throw graphFailure('callCycle', top, [...path, name], 'calls itself');
@@ -116,7 +116,7 @@
           'reaches a route that is not idempotent',
         );
       }
-      this.checkBelow(top, [...path, name]);
+      this.checkReachable(top, [...path, name]);
     }
   }
 }
--- a/packages/settings/src/check.ts
+++ b/packages/settings/src/check.ts
@@ -29,11 +29,11 @@
   // What fits is found without compiling the schema, which would delay the start of a process.
   const filled: unknown = Value.Default(schema, structuredClone(data));
   if (Value.Check(schema, filled)) return filled;
-  return explain(schema, data, result, secret);
+  return failWithReason(schema, data, result, secret);
 }
 
 /** Compiles the schema, whose errors say more, for data that doesn't fit. */
-function explain<T extends TSchema>(
+function failWithReason<T extends TSchema>(
   schema: T,
   data: unknown,
   result: ResultName,
@@ -64,18 +64,18 @@
 
 function describe(error: ErrorObject): string {
   const name = nameOf(error);
-  if (error.keyword === 'additionalProperties') return `Unknown field.${nearest(error, name ?? '')}`;
+  if (error.keyword === 'additionalProperties') return `Unknown field.${suggestion(error, name ?? '')}`;
   if (error.keyword === 'required') return 'Expected a value, found none.';
   const found = JSON.stringify(error.data) ?? 'nothing';
-  return `Expected a value that ${error.message ?? 'fits'}${allowed(error)}, found ${found.slice(0, 80)}.`;
+  return `Expected a value that ${error.message ?? 'fits'}${allowedValues(error)}, found ${found.slice(0, 80)}.`;
 }
 
-function allowed(error: ErrorObject): string {
+function allowedValues(error: ErrorObject): string {
   const values = (error.params as { allowedValues?: unknown[] }).allowedValues;
   return values ? ` (${values.map(String).join(', ')})` : '';
 }
 
-function nearest(error: ErrorObject, name: string): string {
+function suggestion(error: ErrorObject, name: string): string {
   const known = Object.keys((error.parentSchema as { properties?: object } | undefined)?.properties ?? {});
   if (known.length === 0) return '';
   return ` Did you mean "${closest(name, known)}"?`;
--- a/packages/store/src/httpStore.ts
+++ b/packages/store/src/httpStore.ts
@@ -3,8 +3,8 @@
 import { Pool } from 'undici';
 import { type CommitResult, type ObjectStore, type Row, type RowWrite, type Table } from './store.js';
 
-const CONNECTIONS = 4;
-const TIMEOUT_MS = 2000;
+const MAX_CONNECTIONS = 4;
+const DEFAULT_TIMEOUT_MS = 2000;
 
 /** Client of both services at one URL. Makes no retries: its users know what may be repeated. */
 export class HttpStore implements Table, ObjectStore, AsyncDisposable {
@@ -12,39 +12,39 @@
 
   constructor(
     url: string,
-    private readonly timeoutMs = TIMEOUT_MS,
+    private readonly timeoutMs = DEFAULT_TIMEOUT_MS,
   ) {
     this.pool = new Pool(url, {
-      connections: CONNECTIONS,
+      connections: MAX_CONNECTIONS,
       headersTimeout: timeoutMs,
       bodyTimeout: timeoutMs,
     });
   }
 
   async read(key: string): Promise<Row | undefined> {
-    const answer = await this.ask('GET', `/table/${encodeURIComponent(key)}`);
+    const answer = await this.request('GET', `/table/${encodeURIComponent(key)}`);
     return answer.status === 404 ? undefined : parse<Row>(answer.text);
   }
 
   async commit(writes: readonly RowWrite[]): Promise<CommitResult> {
-    const answer = await this.ask('POST', '/table', JSON.stringify({ writes }));
+    const answer = await this.request('POST', '/table', JSON.stringify({ writes }));
     return parse<CommitResult>(answer.text);
   }
 
   async get(name: string): Promise<string | undefined> {
-    const answer = await this.ask('GET', `/objects/${encodeURIComponent(name)}`);
+    const answer = await this.request('GET', `/objects/${encodeURIComponent(name)}`);
     return answer.status === 404 ? undefined : answer.text;
   }
 
   async put(name: string, content: string): Promise<void> {
-    await this.ask('PUT', `/objects/${encodeURIComponent(name)}`, content);
+    await this.request('PUT', `/objects/${encodeURIComponent(name)}`, content);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.pool.destroy();
   }
 
-  private async ask(method: 'GET' | 'POST' | 'PUT', path: string, body?: string) {
+  private async request(method: 'GET' | 'POST' | 'PUT', path: string, body?: string) {
     try {
       const signal = AbortSignal.timeout(this.timeoutMs);
       const answer = await this.pool.request({ method, path, signal, body: body ?? null });
