--- a/packages/membership/src/broadcastQueue.ts
+++ b/packages/membership/src/broadcastQueue.ts
@@ -1,11 +1,11 @@
-/** News waiting to be passed on, each piece a bounded number of times. */
+/** Updates that wait to be piggybacked on gossip datagrams, each a bounded number of times. */
 
-/** How pieces of one kind are told apart, and how long they are. */
+/** Identity and size of the items of one queue. */
 export interface ItemType<T> {
-  /** A newer piece with the same key takes the place of the older one. */
-  readonly keyOf: (news: T) => string;
+  /** A newer item replaces an older one with the same key. */
+  readonly keyOf: (item: T) => string;
   /** Encoded size, bytes. */
-  readonly sizeOf: (news: T) => number;
+  readonly sizeOf: (item: T) => number;
 }
 
 interface QueuedItem<T> {
@@ -14,7 +14,7 @@
   sent: number;
 }
 
-/** The queue of one kind of news; the least often sent goes first. */
+/** A queue of items of one type; those that were sent least often go first. */
 export class BroadcastQueue<T> {
   private readonly entries = new Map<string, QueuedItem<T>>();
 
@@ -24,13 +24,13 @@
     return this.entries.size;
   }
 
-  /** Queues a piece in place of an older one with the same key. */
-  add(news: T): void {
+  /** Queues an item; it replaces one with the same key. */
+  add(item: T): void {
     const { keyOf, sizeOf } = this.kind;
-    this.entries.set(keyOf(news), { item: news, bytes: sizeOf(news) + FRAMING_BYTES, sent: 0 });
+    this.entries.set(keyOf(item), { item, bytes: sizeOf(item) + FRAMING_BYTES, sent: 0 });
   }
 
-  /** Takes what fits into `budget` bytes; an entry goes for good after `limit` times. */
+  /** Takes items that fit into `budget` bytes; an item is removed after `limit` transmissions. */
   take(budget: number, limit: number): T[] {
     const taken: T[] = [];
     let left = budget;
@@ -45,5 +45,5 @@
   }
 }
 
-/** Tag and length of a piece in its message. */
+/** Tag and length of an item in its message. */
 const FRAMING_BYTES = 4;
--- a/packages/membership/src/datagrams.ts
+++ b/packages/membership/src/datagrams.ts
@@ -1,10 +1,10 @@
-/** Datagrams by IP number and port: over UDP, or whatever a test hands in. */
+/** Datagram transport by IP address and port: UDP, or a simulated network in tests. */
 import { type Socket, createSocket } from 'node:dgram';
 import { type AddressInfo } from 'node:net';
 
-/** Sends and receives datagrams; any may be lost, doubled or late. */
+/** Sends and receives datagrams, which may be lost, duplicated or delayed. */
 export interface Datagrams {
-  /** Where others reach this end, as ip:port. */
+  /** Own address, as ip:port. */
   readonly address: string;
   send(to: string, bytes: Uint8Array): void;
   receive(handler: (bytes: Uint8Array) => void): void;
@@ -17,7 +17,7 @@
     readonly address: string,
   ) {}
 
-  /** Binds to `ip`; port 0 takes a free one. */
+  /** Binds to `ip`; port 0 picks a free port. */
   static async bind(ip: string, port: number): Promise<UdpDatagrams> {
     const socket = createSocket('udp4');
     await new Promise<void>((resolve, reject) => {
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Which daemons are alive, and what upstreams they stand beside, by gossip over UDP.
- * After SWIM (Das, Gupta, Motivala, DSN 2002), with the local health of Lifeguard (Dadgar, Phillips, Currey, 2018).
+ * Membership of the fleet: which daemons are alive, and their local upstreams, by gossip over UDP.
+ * Follows SWIM (Das, Gupta, Motivala, DSN 2002), with the local health score of Lifeguard (Dadgar, Phillips, Currey, 2018).
  */
 export { Membership } from './membership.js';
 export {
--- a/packages/membership/src/localHealth.ts
+++ b/packages/membership/src/localHealth.ts
@@ -1,8 +1,8 @@
-/** How far this daemon should doubt itself before it doubts others (after Lifeguard). */
+/** Local health score of Lifeguard: a daemon whose own probes fail allows others more time before it suspects them. */
 
 const MAX_SCORE = 8;
 
-/** A score from 0, healthy, upwards; time-outs are stretched by it. */
+/** A score from 0 (healthy) to `MAX_SCORE`, by which timeouts are extended. */
 export class LocalHealth {
   private current = 0;
 
@@ -10,17 +10,17 @@
     return this.current;
   }
 
-  /** Factor for time-outs. */
+  /** Factor for timeouts. */
   get multiplier(): number {
     return this.current + 1;
   }
 
-  /** A probe was answered. */
+  /** A probe was acknowledged. */
   recordSuccess(): void {
     this.current = Math.max(0, this.current - 1);
   }
 
-  /** A probe failed, or this daemon was itself suspected. */
+  /** A probe failed, or other members suspected this daemon. */
   recordFailure(): void {
     this.current = Math.min(MAX_SCORE, this.current + 1);
   }
--- a/packages/membership/src/meeting.ts
+++ b/packages/membership/src/meeting.ts
@@ -1,144 +1,146 @@
 /**
- * Where daemons that were given no seeds learn of each other: each keeps one row about itself in a shared table. The
- * rows only say whom to gossip with; who is alive is what the gossip finds.
+ * Peer discovery for daemons without seeds: each keeps one row about itself in a shared table. The rows only list
+ * candidates for gossip; liveness is decided by gossip alone.
  */
 import { type Clock, type Random } from '@cleatquay/clock';
 import { Failure, asFailure } from '@cleatquay/errors';
 import { type Membership } from './membership.js';
 
 /**
- * Pause after a failed round of a daemon that has something to write, or knows nobody, ms: two rounds fit into the 2 s in which the living
- * have to be back after an outage.
+ * Delay after a failed round of a daemon that has to write its row, ms: two rounds fit into the 2 s in which daemons have to recover after
+ * an outage.
  */
 const RETRY_DELAY_MS = 700;
-/** Pause while nobody else is known, ms. */
+/** Interval of rounds while no other member is alive, ms. */
 const ALONE_INTERVAL_MS = 1000;
-/** Pause between rounds of a daemon that tends the table, ms. Gossip brings newcomers much sooner; a round costs a read. */
+/** Interval of rounds of a daemon that maintains the table, ms. Gossip finds new daemons much sooner; a round costs a read. */
 const MAINTENANCE_INTERVAL_MS = 15_000;
-/** Pause between rounds of the others, ms: all that they look after is their own row, which nobody else should remove. */
+/** Interval of rounds of the other daemons, ms: they only check that their own row is still there. */
 const OWN_ROW_INTERVAL_MS = 60_000;
-/** A row of a member that gossip has taken for gone is removed when it has not changed for so long, ms. */
+/** The row of a member is removed after gossip has seen it DEAD or LEFT for so long, ms. */
 const REMOVE_AFTER_MS = 60_000;
-/** Tries of one write, each in place of the version that the one before found: no one but this daemon writes its row often. */
+/** Attempts of one write, each conditional on the version that the previous one found. Other daemons rarely write this row. */
 const MAX_WRITE_ATTEMPTS = 3;
-/** How long a departure may wait for the table, ms; its upstream waits a second for the answer. */
+/** Timeout of a write that records a departure, ms; the upstream that announces it waits a second for the response. */
 const RECORD_TIMEOUT_MS = 400;
 
-/** An upstream as its daemon last knew it. */
+/** Last known state of an upstream. */
 export interface KnownUpstream {
   readonly service: string;
   /** ip:port */
   readonly address: string;
   readonly slots: number;
   readonly connections: number;
-  /** Names the upstream; another start may have the same id. */
+  /** Identifies the instance; another process start may have the same id. */
   readonly instanceId: string;
-  /** When it was started, Unix ms; 0 if it doesn't tell. */
+  /** When its process started, Unix ms; 0 if it does not report that. */
   readonly born: number;
 }
 
-/** A start of an upstream that said that it leaves. */
+/** A process start of an upstream that has announced that it is shutting down. */
 export type Departure = Pick<KnownUpstream, 'instanceId' | 'born'>;
 
-/** What a daemon keeps about itself. */
+/** The row that a daemon keeps about itself. */
 export interface MeetingRow {
-  /** ip:port of the inner protocol, the key of the row. */
+  /** ip:port of the peer protocol, the key of the row. */
   readonly address: string;
-  /** ip:port of membership datagrams. */
+  /** ip:port for gossip datagrams. */
   readonly gossipAddress: string;
-  /** Instances of upstreams that announced to this daemon that they leave. */
+  /** Upstreams that have announced to this daemon that they are shutting down. */
   readonly departures: readonly Departure[];
-  /** The upstreams beside the daemon, so that a restarted one need not wait for their next heartbeat. */
+  /** The local upstreams, so that a restarted daemon need not wait for their next heartbeats. */
   readonly upstreams: readonly KnownUpstream[];
 }
 
-/** What of a row outlives the process that wrote it. */
+/** The part of a row that a later process of the daemon restores. */
 export type KeptState = Pick<MeetingRow, 'departures' | 'upstreams'>;
 
-/** A row as the table has it. */
+/** A row with its version in the table. */
 export interface ListedRow extends MeetingRow {
-  /** Told apart from earlier writes of the row by this number. */
+  /** Changes with each write of the row. */
   readonly version: number;
 }
 
-/** The shared table. Every call may fail, also after it took effect, or before it takes effect. */
+/** The shared table. A call that fails may have taken effect, or may take effect later. */
 export interface MeetingTable {
-  /** Puts a row where there is none yet; otherwise gives the address of the row that is there, and what is in it if that can be read. */
+  /** Creates the row if it is absent; otherwise returns the version of the existing one, and its content if that can be parsed. */
   readonly create: (row: MeetingRow, signal: AbortSignal) => Promise<Created>;
   readonly list: (signal: AbortSignal) => Promise<readonly ListedRow[]>;
-  /** Puts a row in place of that of the version, 0 for none; otherwise gives the version that is there. */
+  /** Replaces the row if it has this version (0: absent); otherwise returns the existing version. */
   readonly put: (row: MeetingRow, version: number, signal: AbortSignal) => Promise<Put>;
   readonly remove: (address: string, signal: AbortSignal) => Promise<void>;
 }
 
-/** Whether a row was put, and the version that is there. */
+/** Whether the row was written, and its present version. */
 export interface Put {
   readonly isDone: boolean;
   readonly version: number;
 }
 
-/** Whether a row was put where there was none, and if not, the one that is there; undefined where that can't be read. */
+/** Whether the row was created, and otherwise the existing one; undefined if that can't be parsed. */
 export interface Created extends Put {
   readonly former: MeetingRow | undefined;
 }
 
-/** What a meeting needs of its daemon. */
+/** Options of `PeerDiscovery`. */
 export interface MeetingOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly table: MeetingTable;
   readonly membership: Membership;
-  /** Whether this daemon looks after the table for its failure domain. */
+  /** Whether this daemon maintains the table for its failure domain. */
   readonly isTender: () => boolean;
-  /** What is to be kept in this daemon's row. */
+  /** The state to persist in this daemon's row. */
   readonly kept: () => KeptState;
-  /** Told once what an earlier process of this daemon had recorded. */
+  /** Called once with the state that an earlier process of this daemon recorded, if there is any. */
   readonly onFormer: (former: KeptState) => void;
   readonly log: (message: string, facts: object) => void;
 }
 
-/** One task that keeps the own row, and reads those of the others. */
+/** A task that keeps this daemon's row, and contacts the daemons of the other rows. */
 export class Meeting implements AsyncDisposable {
   private readonly stopped = new AbortController();
   private readonly goneSince = new Map<string, number>();
   private running: Promise<void> = Promise.resolve();
-  /** Whether the own row is there, as far as is known. */
+  /** Whether the own row is known to exist with the present gossip address. */
   private hasRow = false;
   private hasCreated = false;
-  /** Version of the own row, as far as is known; 0 for none. */
+  /** Last known version of the own row; 0 for none. */
   private version = 0;
-  /** Changes of what the row should say, and how many of them are known to be in it. */
+  /** Number of changes of the state to persist, and how many of them are known to be written. */
   private changes = 0;
   private writtenChanges = 0;
-  /** Ends the pause between two rounds. */
+  /** Ends the delay between two rounds. */
   private delayAborter = new AbortController();
   private isLost = false;
   private resolveFirstRound: () => void = () => undefined;
-  /** Resolves after the first round that worked. */
+  /** Resolves after the first successful round. */
   readonly met = new Promise<void>(resolve => (this.resolveFirstRound = resolve));
 
   constructor(private readonly options: MeetingOptions) {}
 
-  /** Starts to keep the row. */
+  /** Starts the rounds. */
   start(): void {
     this.running = this.runRounds();
   }
 
   /**
-   * Records what has changed about this daemon, if the table answers soon. Before the first round nothing is written,
-   * since the row still has what an earlier process recorded; the round that finds it writes both.
+   * Writes the present state to the row, with a timeout; after a failure the next round writes it. Before the first round nothing is written,
+   * since the row still has what an earlier process recorded; the round that restores it writes both.
    */
   async record(): Promise<void> {
     const { clock, log } = this.options;
     this.changes++;
     if (!this.hasCreated) return;
     const limit = new AbortController();
-    const timer = clock.after(RECORD_TIMEOUT_MS, () => limit.abort(new Error('The table took too long.')));
+    const timer = clock.after(RECORD_TIMEOUT_MS, () =>
+      limit.abort(new Error('The table did not respond in time.')),
+    );
     try {
       await this.write(limit.signal);
     } catch (error) {
       this.delayAborter.abort();
-      log('The own row could not be written; it is tried again.', { reason: asFailure(error).describe() });
+      log('Failed to write the own row; retrying.', { reason: asFailure(error).describe() });
     } finally {
       timer[Symbol.dispose]();
     }
@@ -160,7 +162,7 @@
     }
   }
 
-  /** An outage of the table is nothing to ask about for those who have their row and know others. */
+  /** A daemon that has its row and knows other members does not poll faster during an outage of the table. */
   private intervalMs(): number {
     const { membership, isTender } = this.options;
     if (this.mustWrite) return RETRY_DELAY_MS;
@@ -168,7 +170,7 @@
     return isTender() ? MAINTENANCE_INTERVAL_MS : OWN_ROW_INTERVAL_MS;
   }
 
-  /** The row comes first, so that of two daemons that start at once one sees the other. */
+  /** The own row is written before the list is read, so that of two daemons that start at the same time at least one sees the other. */
   private async runRound(signal: AbortSignal): Promise<void> {
     const { table, log } = this.options;
     try {
@@ -181,16 +183,17 @@
       this.hasRow = own?.gossipAddress === gossipAddress;
       this.options.membership.meet(this.othersIn(rows));
       await this.removeGone(rows, signal);
-      if (this.isLost) log('The table is back.', { rows: rows.length });
+      if (this.isLost) log('The table is reachable again.', { rows: rows.length });
       this.isLost = false;
       this.resolveFirstRound();
     } catch (error) {
-      if (!this.isLost && !signal.aborted) log('The table is lost.', { reason: asFailure(error).describe() });
+      if (!this.isLost && !signal.aborted)
+        log('The table is unreachable.', { reason: asFailure(error).describe() });
       this.isLost = true;
     }
   }
 
-  /** Writes the first row only where there is none: what an earlier process of this daemon recorded must not be lost. */
+  /** Creates the row only if it is absent, so as not to lose what an earlier process of this daemon recorded. */
   private async create(signal: AbortSignal): Promise<void> {
     const { table, onFormer, membership } = this.options;
     const { changes } = this;
@@ -208,8 +211,8 @@
   }
 
   /**
-   * Writes only in place of the version that it knows: a write that was given up, and takes effect seconds later, would put what the row said
-   * then in place of what it says by now. Where there is another version, its place is taken at once.
+   * Writes are conditional on the known version: an unconditional write that timed out and takes effect seconds later would replace a newer
+   * row by an older one. On a conflict the row of the version found is replaced at once.
    */
   private async write(signal: AbortSignal): Promise<void> {
     for (let left = MAX_WRITE_ATTEMPTS; left > 0; left--) {
@@ -221,7 +224,9 @@
       this.hasRow = true;
       return;
     }
-    throw new Failure('The own row changes all the time.', { result: 'platformDown' });
+    throw new Failure('The own row was changed concurrently at each write attempt.', {
+      result: 'platformDown',
+    });
   }
 
   private othersIn(rows: readonly MeetingRow[]): string[] {
@@ -229,7 +234,7 @@
     return rows.map(row => row.gossipAddress).filter(address => address !== own);
   }
 
-  /** The first living daemon in order of addresses tidies up; two that think so do no harm. */
+  /** Run by the daemon that is first by address among those alive; it is harmless if two daemons do it. */
   private async removeGone(rows: readonly MeetingRow[], signal: AbortSignal): Promise<void> {
     const { clock, membership, table, log } = this.options;
     const states = new Map(rows.map(row => [row.address, membership.table.get(row.address)?.state]));
@@ -245,7 +250,7 @@
       else if (clock.now() - (this.goneSince.get(address) ?? 0) > REMOVE_AFTER_MS) {
         await table.remove(address, signal);
         this.goneSince.delete(address);
-        log('Removed the row of a daemon that is gone.', { address });
+        log('Removed the row of a daemon that is no longer a member.', { address });
       }
     }
   }
--- a/packages/membership/src/memberTable.ts
+++ b/packages/membership/src/memberTable.ts
@@ -1,21 +1,21 @@
-/** The members that this daemon knows of, which of two records is newer, and digests for anti-entropy. */
+/** The members known to this daemon, the order of their records, and digests for anti-entropy. */
 import type { Member } from '@cleatquay/protocol';
 import { type MemberState } from '@cleatquay/protocol';
 import { crc32 } from 'node:zlib';
 
-/** Buckets of the table, each compared by one digest. */
+/** Number of buckets of the table; each is compared by one digest. */
 export const BUCKETS = 256;
 
 const PRECEDENCE: Record<MemberState, number> = { ALIVE: 0, SUSPECT: 1, DEAD: 2, LEFT: 3 };
 
-/** Whether `a` says something newer than `b` of the same address. */
+/** Whether `a` supersedes `b`, a record of the same address. */
 export function isNewer(a: Member, b: Member): boolean {
   if (a.epoch !== b.epoch) return a.epoch > b.epoch;
   if (a.incarnation !== b.incarnation) return a.incarnation > b.incarnation;
   return PRECEDENCE[a.state] > PRECEDENCE[b.state];
 }
 
-/** Members by address; only ever replaced by newer records. */
+/** Members by address. A record is replaced only by a newer one. */
 export class MemberTable {
   private readonly members = new Map<string, Member>();
   private readonly byGossipAddress = new Map<string, string>();
@@ -30,7 +30,7 @@
     return this.members.get(address);
   }
 
-  /** The member behind a gossip address. */
+  /** The member that has this gossip address. */
   atGossip(gossipAddress: string): Member | undefined {
     return this.members.get(this.byGossipAddress.get(gossipAddress) ?? '');
   }
@@ -39,7 +39,7 @@
     return this.members.values();
   }
 
-  /** Takes the record if it is newer than what is known; says whether it was. */
+  /** Stores the record if it is newer than the known one; returns whether it was. */
   put(member: Member): boolean {
     const known = this.members.get(member.address);
     if (known && !isNewer(member, known)) return false;
@@ -52,7 +52,6 @@
     return true;
   }
 
-  /** Forgets a member for good. */
   remove(address: string): void {
     const bucket = bucketOf(address);
     this.toggle(bucket, this.members.get(address));
@@ -60,7 +59,7 @@
     this.buckets[bucket]?.delete(address);
   }
 
-  /** One digest for each bucket; equal tables have equal digests. */
+  /** One digest per bucket; equal tables have equal digests. */
   digests(): number[] {
     return [...this.bucketDigests];
   }
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,4 +1,4 @@
-/** The gossip itself: probes, suspicion, refutation, spreading, and anti-entropy. */
+/** The gossip protocol: probes, suspicion, refutation, dissemination and anti-entropy. */
 import { type Timer } from '@cleatquay/clock';
 import {
   type Ack,
@@ -32,35 +32,33 @@
 const SECOND_SYNC_DELAY_MS = 1000;
 const MAX_BULK_BROADCASTS = 30;
 const MAX_DATAGRAM_BYTES = 1100;
-/** Part of a datagram that findings take, bytes: one of an end with 64 requests, and some more. */
+/** Maximum size of the findings in a datagram, bytes: fits that of a crash with 64 requests in flight, and some more. */
 const MAX_FINDINGS_BYTES = 700;
-/** A member that knows other verdicts is told all of ours at most so often, ms. */
+/** Minimum interval at which all verdicts are sent to a member whose digest of verdicts differs, ms. */
 const VERDICTS_INTERVAL_MS = 500;
 /**
- * How often a daemon passes a piece of news on: at least so often, and so many times the binary logarithm of the fleet's size. More
- * often costs far more bytes and reaches hardly anybody else.
+ * Transmissions of each update by a daemon: TRANSMISSIONS_FACTOR times the binary logarithm of the fleet's size, but at least
+ * MIN_TRANSMISSIONS. More cost far more bytes and reach hardly any further member.
  */
 const MIN_TRANSMISSIONS = 8;
 const TRANSMISSIONS_FACTOR = 0.75;
 /**
- * Up to so many daemons that were learned of are all met at once. Each answers with all that it knows, so that a fleet of hundreds that met
- * everybody would, at a start, exchange its table by the square of its size.
+ * Up to so many discovered daemons are all joined at once. Each responds with its whole table, so that at the start of a fleet of hundreds
+ * the traffic of joining all others would grow with the square of its size.
  */
 const MAX_JOINS = 16;
-/**
- * Of more than that, so many at random. If none of them answers, the table is read again within about a second.
- */
+/** Number of daemons joined, at random, if more are discovered. If none responds, the discovery table is read again within about a second. */
 const SAMPLED_JOINS = 3;
 
 /** This daemon's view of the fleet. */
-export class Membership<Asked = unknown> implements AsyncDisposable {
+export class Membership<Context = unknown> implements AsyncDisposable {
   readonly table = new MemberTable();
   readonly health = new LocalHealth();
   readonly traffic = { sentBytes: 0, receivedBytes: 0, sentDatagrams: 0, invalid: 0 };
   private self: Member;
   private configuration: KnownConfiguration = { generation: 0, shortDigest: 0 };
   private receivedAt: number;
-  private readonly probes: Probes<Asked | undefined>;
+  private readonly probes: Probes<Context | undefined>;
   private readonly suspicions = new Map<string, Timer>();
   private readonly goneSince = new Map<string, number>();
   private readonly memberBroadcasts = new BroadcastQueue<Member>({
@@ -71,7 +69,7 @@
     keyOf: finding => Buffer.from(Finding.encode(finding).finish()).toString('base64'),
     sizeOf: finding => Finding.encode(finding).finish().length,
   });
-  /** When each member was last told all verdicts, clock ms. */
+  /** When all verdicts were last sent to each gossip address, clock ms. */
   private readonly verdictsSentAt = new Map<string, number>();
   private readonly stopped = new AbortController();
   private probeOrder: string[] = [];
@@ -80,7 +78,7 @@
   private secondSyncTimer: Timer | undefined;
   private running: Promise<void> = Promise.resolve();
 
-  constructor(private readonly options: MembershipOptions<Asked>) {
+  constructor(private readonly options: MembershipOptions<Context>) {
     this.self = { ...options.self, incarnation: 1, state: 'ALIVE', upstreams: [], isPlatformLost: false };
     this.table.put(this.self);
     this.receivedAt = options.clock.now();
@@ -93,30 +91,30 @@
     return this.self;
   }
 
-  /** Completes this daemon's record; to be called before `start`. */
+  /** Sets the operator address in this daemon's record; call it before `start`. */
   setOperatorAddress(operatorAddress: string): void {
     this.assertSelf({ operatorAddress });
   }
 
-  /** Joins by the seeds and starts to probe. */
+  /** Joins through the seeds and starts to probe. */
   start(): void {
     for (const seed of this.options.seeds) this.sendSync(seed, true);
     this.running = this.probeForever();
   }
 
-  /** Gets in touch with daemons that were learned of by other means than gossip; of many, with some, who know the others. */
+  /** Syncs with daemons that were discovered by other means than gossip; if there are many, with a sample that knows the others. */
   meet(gossipAddresses: readonly string[]): void {
     const unknown = gossipAddresses.filter(address => this.table.atGossip(address)?.state !== 'ALIVE');
-    const met = unknown.length > MAX_JOINS ? this.shuffle(unknown).slice(0, SAMPLED_JOINS) : unknown;
-    for (const address of met) this.sendSync(address, true);
+    const joined = unknown.length > MAX_JOINS ? this.shuffle(unknown).slice(0, SAMPLED_JOINS) : unknown;
+    for (const address of joined) this.sendSync(address, true);
   }
 
-  /** Other members that are thought to be up. */
+  /** Number of other members in state ALIVE or SUSPECT. */
   aliveCount(): number {
     return [...this.table.all()].filter(m => isUp(m) && m.address !== this.self.address).length;
   }
 
-  /** Daemons of a failure domain, this one among them: those that are up, and those that were found gone so lately that they may be cut off only. */
+  /** Daemons of a failure domain, including this one, that are up, or were declared dead so recently that they may only be partitioned. */
   countLately(failureDomain: string, withinMs: number): number {
     const since = this.options.clock.now() - withinMs;
     return [...this.table.all()].filter(
@@ -126,25 +124,25 @@
     ).length;
   }
 
-  /** Clock time at which another member was last heard, ms; before the first, the start. */
+  /** Clock time at which a datagram was last received, ms; initially that of the start. */
   get lastHeardAt(): number {
     return this.receivedAt;
   }
 
-  /** Tells the fleet of this daemon's upstreams. */
+  /** Announces this daemon's upstreams to the fleet. */
   setUpstreams(upstreams: readonly Upstream[]): void {
     this.assertSelf({ upstreams: [...upstreams] });
   }
 
-  /** Tells the fleet which configuration this daemon has. */
+  /** Announces to the fleet which configuration this daemon has. */
   setConfiguration({ generation, shortDigest }: KnownConfiguration): void {
     this.configuration = { generation, shortDigest };
     this.scheduleBroadcast();
   }
 
   /**
-   * Tells the fleet what this daemon found out. What speaks against a request goes to a few members in this moment, and from there on at once:
-   * callers whose requests failed come again within some ms, at other daemons.
+   * Broadcasts a finding to the fleet. A finding that incriminates a request is sent to a few members immediately, and forwarded by them at
+   * once: callers retry failed requests within a few ms, at other daemons.
    */
   spread(finding: Finding): void {
     this.findingBroadcasts.add(finding);
@@ -152,12 +150,12 @@
     this.scheduleBroadcast();
   }
 
-  /** Tells the fleet whether this daemon's reads of the platform fail. */
+  /** Announces to the fleet whether this daemon's reads of the platform fail. */
   setPlatformLost(isPlatformLost: boolean): void {
     if (isPlatformLost !== this.self.isPlatformLost) this.assertSelf({ isPlatformLost });
   }
 
-  /** Says goodbye, so that nobody has to find out. */
+  /** Announces that this daemon leaves, so that the others need not detect it. */
   leave(): void {
     this.assertSelf({ state: 'LEFT' });
     for (const peer of this.randomAlive(FANOUT * 2)) this.send(peer.gossipAddress, {});
@@ -173,7 +171,7 @@
     await this.running;
   }
 
-  /** The whole state, for a dump. */
+  /** The full state, for a dump. */
   dump(): object {
     return {
       self: this.self,
@@ -198,34 +196,34 @@
     }
   }
 
-  /** One probe: directly, then by others; no answer at all makes the member suspect. */
+  /** Probes a member directly, then through others; without any acknowledgement it becomes suspect. */
   private async probe(target: Member): Promise<void> {
     const { clock } = this.options;
     const start = clock.now();
     const timeout = ACK_TIMEOUT_MS * this.health.multiplier;
     if (await this.ping(target.gossipAddress, timeout)) return this.health.recordSuccess();
     const helpers = this.randomAlive(INDIRECT_PROBES, target.address);
-    const answered = this.probes.start(timeout, sequence => {
+    const acknowledged = this.probes.start(timeout, sequence => {
       const ping = { sequence, target: target.gossipAddress };
       for (const helper of helpers) this.send(helper.gossipAddress, { ping });
     });
-    if (await answered) return this.health.recordSuccess();
+    if (await acknowledged) return this.health.recordSuccess();
     this.health.recordFailure();
     const overslept = clock.now() - start > 2 * timeout + PROBE_INTERVAL_MS;
     if (!overslept) this.suspect(target);
   }
 
-  /** Asks a member how lately its configuration was the newest; the answer goes where those to all probes go. */
+  /** Requests a freshness proof from a member by a probe; the proof arrives with the acknowledgement. */
   ask(gossipAddress: string): void {
     void this.ping(gossipAddress, ACK_TIMEOUT_MS);
   }
 
-  /** Asks a member, by its gossip address, for room in quotas. */
+  /** Requests quota capacity from the member with a gossip address. */
   askForQuota(to: string, quotaQuestion: QuotaQuestion): void {
     this.send(to, { quotaQuestion });
   }
 
-  /** Answers such a question. */
+  /** Responds to such a request. */
   answerForQuota(to: string, quotaAnswer: QuotaAnswer): void {
     this.send(to, { quotaAnswer });
   }
@@ -239,11 +237,11 @@
     if (known?.state === 'ALIVE') this.accept({ ...known, state: 'SUSPECT' });
   }
 
-  /** Takes a record if it is news, and passes it on. */
+  /** Applies a record if it is newer than the known one, and forwards it. */
   private accept(member: Member, isBulk = false): void {
     if (member.address === this.self.address) return this.refute(member);
     if (!this.table.put(member)) return;
-    this.passOn(member, isBulk);
+    this.forward(member, isBulk);
     this.suspicions.get(member.address)?.[Symbol.dispose]();
     this.suspicions.delete(member.address);
     if (member.state === 'SUSPECT') this.startSuspicion(member);
@@ -254,10 +252,10 @@
   }
 
   /**
-   * News is passed on by rumour; a whole table that came by a sync isn't, beyond a few members: when many start or two
-   * regions heal, rumours of everybody to everybody would fill the network for minutes. They sync again soon instead.
+   * Changes are forwarded as broadcasts. Of the members received in a sync only a few are: when many daemons start, or a partition between two
+   * regions heals, broadcasts of all members by all members would saturate the network for minutes. Instead this daemon soon syncs again.
    */
-  private passOn(member: Member, isBulk: boolean): void {
+  private forward(member: Member, isBulk: boolean): void {
     if (isBulk)
       this.secondSyncTimer ??= this.options.clock.after(SECOND_SYNC_DELAY_MS, () => this.syncSoon());
     if (isBulk && this.memberBroadcasts.size >= MAX_BULK_BROADCASTS) return;
@@ -277,7 +275,7 @@
     this.suspicions.set(member.address, this.options.clock.after(ms, expire));
   }
 
-  /** Answers a record of this daemon by others: a worse state, or a process that was here before. */
+  /** Refutes a record about this daemon from others that has a worse state, or stems from an earlier process at this address. */
   private refute(claim: Member): void {
     if (claim.epoch > this.self.epoch) return this.assertSelf({ epoch: claim.epoch + 1 });
     const accused = claim.epoch === this.self.epoch && claim.state !== 'ALIVE' && this.self.state === 'ALIVE';
@@ -295,8 +293,8 @@
   }
 
   /**
-   * News goes to a few members at once, so that it is everywhere long before probes would carry it. One round misses some; a second one, a little
-   * later, leaves hardly any to the probes.
+   * Updates are sent to a few members at once, so that they reach the fleet long before probes would carry them. One round misses some members;
+   * after a second one, a little later, hardly any depend on probes.
    */
   private scheduleBroadcast(): void {
     if (this.broadcastTimer || this.stopped.signal.aborted) return;
@@ -342,11 +340,11 @@
     if (gossip.quotaAnswer) this.options.quotas?.heardAnswer(gossip.quotaAnswer, gossip.from);
   }
 
-  /** What was missed while this daemon or the other stood still, was cut off or was away is made up for: each tells the other its verdicts. */
-  private handleFindings({ findings: heard, findingsDigest, from }: Gossip): void {
+  /** Repairs what was missed during a suspension, a network partition or a restart: if the digests differ, all verdicts are sent to the other member. */
+  private handleFindings({ findings: received, findingsDigest, from }: Gossip): void {
     const { findings, clock } = this.options;
     if (!findings) return;
-    for (const finding of heard) if (findings.heard(finding)) this.spread(finding);
+    for (const finding of received) if (findings.heard(finding)) this.spread(finding);
     const now = clock.now();
     if (
       findingsDigest === findings.digest() ||
@@ -359,9 +357,9 @@
   }
 
   private handleAck({ sequence, proofAge }: Ack, configuration: KnownConfiguration): void {
-    const asked = this.probes.acknowledge(sequence);
-    if (asked !== undefined && proofAge > 0)
-      this.options.proofs?.heard({ ...configuration, ageMs: proofAge - 1 }, asked);
+    const context = this.probes.acknowledge(sequence);
+    if (context !== undefined && proofAge > 0)
+      this.options.proofs?.heard({ ...configuration, ageMs: proofAge - 1 }, context);
   }
 
   private ackOf(sequence: number): Ack {
@@ -372,16 +370,16 @@
   private handlePing(ping: Ping, from: string): void {
     if (ping.target === '') return this.acknowledgePing(ping, from);
     if (!isAddress(ping.target)) return;
-    void this.ping(ping.target, ACK_TIMEOUT_MS).then(answered => {
-      if (answered) this.send(from, { ack: this.ackOf(ping.sequence) });
+    void this.ping(ping.target, ACK_TIMEOUT_MS).then(isAcknowledged => {
+      if (isAcknowledged) this.send(from, { ack: this.ackOf(ping.sequence) });
     });
   }
 
-  /** A member thought to be gone hears of it, so that it can refute. */
+  /** A sender that is taken for dead receives its record, so that it can refute it. */
   private acknowledgePing(ping: Ping, from: string): void {
     const sender = this.table.atGossip(from);
-    const news = sender && sender.state !== 'ALIVE' ? [sender] : undefined;
-    this.send(from, { ack: this.ackOf(ping.sequence) }, news);
+    const update = sender && sender.state !== 'ALIVE' ? [sender] : undefined;
+    this.send(from, { ack: this.ackOf(ping.sequence) }, update);
   }
 
   private handleSync(sync: Sync, from: string): void {
@@ -409,7 +407,7 @@
     this.send(to, { sync: { digests: this.table.digests(), reply } }, [this.self]);
   }
 
-  private send(to: string, what: GossipFields, members?: Member[], verdicts?: Finding[]): void {
+  private send(to: string, fields: GossipFields, members?: Member[], verdicts?: Finding[]): void {
     if (this.options.isCut?.(to)) return;
     const limit = Math.max(
       MIN_TRANSMISSIONS,
@@ -421,12 +419,12 @@
       findings.reduce((sum, finding) => sum + Finding.encode(finding).finish().length, 0);
     const bytes = Gossip.encode({
       from: this.self.gossipAddress,
-      ping: what.ping,
-      ack: what.ack,
-      sync: what.sync,
-      bulk: what.bulk ?? false,
-      quotaQuestion: what.quotaQuestion,
-      quotaAnswer: what.quotaAnswer,
+      ping: fields.ping,
+      ack: fields.ack,
+      sync: fields.sync,
+      bulk: fields.bulk ?? false,
+      quotaQuestion: fields.quotaQuestion,
+      quotaAnswer: fields.quotaAnswer,
       members: members ?? this.memberBroadcasts.take(left, limit),
       findings,
       findingsDigest: this.options.findings?.digest() ?? 0,
@@ -438,9 +436,9 @@
     this.options.datagrams.send(to, bytes);
   }
 
-  /** The next member in an order that is shuffled anew each time around. */
+  /** The next member to probe; the order is shuffled again after each pass over all members. */
   private nextTarget(): Member | undefined {
-    for (let tries = 0; tries < 2; tries++) {
+    for (let pass = 0; pass < 2; pass++) {
       for (let address = this.probeOrder.pop(); address !== undefined; address = this.probeOrder.pop()) {
         const member = this.table.get(address);
         if (member && isUp(member) && address !== this.self.address) return member;
@@ -458,7 +456,7 @@
     return list;
   }
 
-  /** Up to `count` other members that are thought to be up. */
+  /** Up to `count` other members in state ALIVE or SUSPECT, at random. */
   randomAlive(count: number, except = ''): Member[] {
     const candidates = [...this.table.all()].filter(
       m => isUp(m) && m.address !== this.self.address && m.address !== except,
@@ -489,9 +487,9 @@
   return member.state === 'ALIVE' || member.state === 'SUSPECT';
 }
 
-/** Older proofs say nothing that anybody could use, ms. */
+/** Older proofs are too old to be of use, ms. */
 const MAX_PROOF_AGE_MS = 60_000;
-/** What one datagram says besides news. */
+/** Optional fields of a datagram besides updates. */
 type GossipFields = Partial<Pick<Gossip, 'ping' | 'ack' | 'sync' | 'bulk' | 'quotaQuestion' | 'quotaAnswer'>>;
 
 const MEMBER_BYTES = 150;
--- a/packages/membership/src/membershipOptions.ts
+++ b/packages/membership/src/membershipOptions.ts
@@ -1,55 +1,55 @@
-/** What a daemon brings to its membership, and hears from it. */
+/** Options and callbacks of a daemon's membership. */
 import { type Clock, type Random } from '@cleatquay/clock';
 import { type Finding, type Member, type QuotaAnswer, type QuotaQuestion } from '@cleatquay/protocol';
 import { type Datagrams } from './datagrams.js';
 
-/** Which configuration a daemon has. */
+/** The configuration that a daemon has active. */
 export interface KnownConfiguration {
   readonly generation: number;
   /** First half of the digest of its content. */
   readonly shortDigest: number;
 }
 
-/** How lately each daemon's configuration was the newest, as it travels on answers to probes. */
-export interface Proofs<Asked> {
-  /** How long ago that of this daemon was, ms; infinite if it never was. */
+/** Freshness proofs of the configuration, which travel on acknowledgements of probes. */
+export interface Proofs<Context> {
+  /** Age of this daemon's proof, ms; infinite if it has none. */
   readonly ageMs: () => number;
-  /** The present moment, kept with a question until its answer comes. */
-  readonly asking: () => Asked;
-  /** A member answers a question that was asked then. */
-  readonly heard: (proof: KnownConfiguration & { readonly ageMs: number }, asked: Asked) => void;
+  /** Gives the present moment, which is stored with a probe until it is acknowledged. */
+  readonly asking: () => Context;
+  /** Receives a member's proof, with the context of the probe that it acknowledges. */
+  readonly heard: (proof: KnownConfiguration & { readonly ageMs: number }, context: Context) => void;
 }
 
-/** What daemons find out about requests under which upstreams end, as gossip sees it. */
+/** Findings about queries of death (requests under which upstreams crash), as gossip carries them. */
 export interface Findings {
-  /** Digest of the verdicts that are known here; 0 for none. */
+  /** Digest of the verdicts known to this daemon; 0 for none. */
   readonly digest: () => number;
-  /** The verdicts that are known here. */
+  /** The verdicts known to this daemon. */
   readonly verdicts: () => readonly Finding[];
-  /** Takes a finding of another daemon. Says whether it was news. */
+  /** Applies a finding of another daemon; returns whether it was new. */
   readonly heard: (finding: Finding) => boolean;
 }
 
-/** Questions for room in quotas, which travel in datagrams of membership. */
+/** Requests for quota capacity and their responses, which travel in gossip datagrams. */
 export interface QuotaHandlers {
   readonly heardQuestion: (question: QuotaQuestion, from: string) => void;
   readonly heardAnswer: (answer: QuotaAnswer, from: string) => void;
 }
 
-/** What a daemon brings to its membership. */
-export interface MembershipOptions<Asked = unknown> {
+/** Options of a daemon's membership. */
+export interface MembershipOptions<Context = unknown> {
   readonly clock: Clock;
   readonly random: Random;
   readonly datagrams: Datagrams;
   readonly self: Omit<Member, 'incarnation' | 'state' | 'upstreams' | 'isPlatformLost'>;
   readonly seeds: readonly string[];
-  /** Told when a member says which configuration it has. */
+  /** Called when a member announces which configuration it has. */
   readonly onConfiguration: (configuration: KnownConfiguration, from: string) => void;
   readonly findings?: Findings;
-  readonly proofs?: Proofs<Asked>;
+  readonly proofs?: Proofs<Context>;
   readonly quotas?: QuotaHandlers;
-  /** Told of every change of a member other than this one. */
+  /** Called for each change of another member. */
   readonly onChange: (member: Member) => void;
-  /** Whether datagrams to and from this gossip address are cut off; a hook for tests. */
+  /** Whether a simulated network partition separates this daemon from a gossip address; a hook for tests. */
   readonly isCut?: (gossipAddress: string) => boolean;
 }
--- a/packages/membership/src/probes.ts
+++ b/packages/membership/src/probes.ts
@@ -1,50 +1,53 @@
-/** Questions to other members that wait for their answers, by number. */
+/** Probes that wait for their acknowledgements, by sequence number. */
 import { type Clock, type Random, type Timer } from '@cleatquay/clock';
 
-/** Numbers of questions are 32 bits wide: from here there is room for a question each ms for 24 days. */
+/** Sequence numbers have 32 bits: above this value they suffice for a probe each ms for 24 days. */
 const MAX_FIRST_SEQUENCE = 2 ** 31;
 
-interface Probe<Asked> {
-  readonly settle: (isAnswered: boolean) => void;
-  readonly context: Asked;
+interface Probe<Context> {
+  readonly settle: (isAcknowledged: boolean) => void;
+  readonly context: Context;
   readonly timer: Timer;
 }
 
-/** What was asked and not answered yet. */
-export class Probes<Asked> implements Disposable {
-  private readonly pending = new Map<number, Probe<Asked>>();
+/** Probes that are not acknowledged yet. */
+export class Probes<Context> implements Disposable {
+  private readonly pending = new Map<number, Probe<Context>>();
   private lastSequence: number;
   private isClosed = false;
 
-  /** An answer to a former process at this address, held up on the way, must not be taken for one to this one: numbers begin anywhere. */
+  /**
+   * Sequence numbers start at a random value, so that a delayed acknowledgement for an earlier process at this address is not taken for one to
+   * this process.
+   */
   constructor(
     private readonly clock: Clock,
     random: Random,
-    /** Noted with each question, for whoever hears the answer. */
-    private readonly captureContext: () => Asked,
+    /** Gives the value that is stored with a probe, and returned by `acknowledge`. */
+    private readonly captureContext: () => Context,
   ) {
     this.lastSequence = Math.floor(random() * MAX_FIRST_SEQUENCE);
   }
 
-  /** Asks by `send`, which is given the question's number; says whether an answer came in time. */
-  start(timeoutMs: number, send: (number: number) => void): Promise<boolean> {
+  /** Starts a probe by `send`, which gets its sequence number; resolves to whether it was acknowledged in time. */
+  start(timeoutMs: number, send: (sequence: number) => void): Promise<boolean> {
     if (this.isClosed) return Promise.resolve(false);
-    const number = ++this.lastSequence;
+    const sequence = ++this.lastSequence;
     return new Promise(resolve => {
-      const settle = (isAnswered: boolean) => {
-        this.pending.get(number)?.timer[Symbol.dispose]();
-        this.pending.delete(number);
-        resolve(isAnswered);
+      const settle = (isAcknowledged: boolean) => {
+        this.pending.get(sequence)?.timer[Symbol.dispose]();
+        this.pending.delete(sequence);
+        resolve(isAcknowledged);
       };
       const timer = this.clock.after(timeoutMs, () => settle(false));
-      this.pending.set(number, { settle, context: this.captureContext(), timer });
-      send(number);
+      this.pending.set(sequence, { settle, context: this.captureContext(), timer });
+      send(sequence);
     });
   }
 
-  /** An answer came; gives what was noted with its question, or undefined if it comes too late or answers none of them. */
-  acknowledge(number: number): Asked | undefined {
-    const probe = this.pending.get(number);
+  /** Settles a probe and returns its context; undefined if the acknowledgement is late or its sequence number is unknown. */
+  acknowledge(sequence: number): Context | undefined {
+    const probe = this.pending.get(sequence);
     probe?.settle(true);
     return probe?.context;
   }
