--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -1,10 +1,10 @@
 /**
- * The configuration that one daemon has in force. It only ever moves to higher generations.
+ * The active configuration of one daemon. Its generation never decreases.
  *
- * A difference between two versions is told only on top of a content that both sides have, which its digest names, and is put in force only
- * if the content that it leads to has the digest that was told with it. The numbers of versions don't tell what a daemon has seen of the
- * ways between them: reckoned from numbers, 297 of 2,000 random histories of 40 reads, missed versions, restarts and answers had
- * a daemon with another content than its generation's, which nothing mended (the histories of configurationContent.spec.ts).
+ * A difference between two versions is sent only relative to a content that both daemons have had, identified by its digest, and is adopted
+ * only if the result has the digest that was sent with it. Generation numbers are no sufficient base, since they don't tell which versions
+ * a daemon has missed: with differences computed from numbers, 297 of 2,000 random histories of 40 reads, missed versions, restarts and
+ * responses left a daemon with content that was not that of its generation, permanently (the histories of configurationContent.spec.ts).
  */
 import { type Clock } from '@cleatquay/clock';
 import { Failure, invariant } from '@cleatquay/errors';
@@ -12,28 +12,28 @@
 import { type AppliedVersion } from './configurationStore.js';
 import { type Change, type Sections, differences, digestOf } from './sections.js';
 
-/** Where a version came from: the platform, or the inner address of a peer. */
+/** Where a version came from: the platform, or the address of a peer. */
 export type Origin = 'platform' | (string & {});
 
-/** A version that has just been put in force. */
+/** A version that has just become active. */
 export interface Adoption {
   readonly generation: number;
   readonly digest: string;
   readonly from: Origin;
-  /** What was in force before; generation 0 before the first. */
+  /** The version that was active before; generation 0 before the first. */
   readonly before: { readonly generation: number; readonly digest: string };
   readonly changes: readonly Change[];
 }
 
 /**
- * Contents that a daemon remembers to tell differences on top of. Changes come three seconds apart on average, in series three a second: a peer
- * that is further behind than some five seconds gets the whole. Sections that two contents share are kept once.
+ * Number of contents that a daemon remembers as bases of differences. Changes come every three seconds on average, and three a second in
+ * bursts: a peer that is more than about five seconds behind receives the full content. Contents share the memory of equal sections.
  */
 const MAX_REMEMBERED_CONTENTS = 16;
-/** Hexadecimal digits of a digest that gossip carries. */
+/** Hexadecimal digits of the part of a digest that gossip carries. */
 const SHORT_DIGEST_DIGITS = 8;
 
-/** Holds the version in force and hands out what a peer lacks. */
+/** Holds the active version, and creates responses to peers that lack it. */
 export class Configuration<Compiled> {
   private version: AppliedVersion | undefined;
   private compiled: Compiled | undefined;
@@ -45,22 +45,22 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Makes sections ready for use; fails for content that doesn't check. */
+    /** Compiles sections for use; throws if the content is invalid. */
     private readonly compile: (sections: Sections) => Compiled,
     private readonly onChange: (adoption: Adoption) => void,
   ) {}
 
-  /** 0 before the first. */
+  /** Generation of the active version; 0 before the first. */
   get generation(): number {
     return this.version?.generation ?? 0;
   }
 
-  /** Identifies the apply that made the version in force. */
+  /** Identifies the apply that created the active version. */
   get applyId(): string {
     return this.version?.applyId ?? '';
   }
 
-  /** Names the content in force: two daemons with one generation and two digests differ. Empty before the first. */
+  /** Identifies the active content: daemons with equal generations and different digests have different content. Empty before the first version. */
   get digest(): string {
     return this.contentDigest;
   }
@@ -72,24 +72,24 @@
       : Number.parseInt(this.contentDigest.slice(0, SHORT_DIGEST_DIGITS), 16);
   }
 
-  /** Whether the platform has told that this content is that of its generation. */
+  /** Whether a read of the platform has confirmed that this content belongs to its generation. */
   get isConfirmed(): boolean {
     return this.confirmed;
   }
 
-  /** When the version in force came. */
+  /** When the active version was adopted. */
   get adoptedAt(): Date | undefined {
     return this.adopted;
   }
 
-  /** What is in force, ready for use; undefined before the first generation. */
+  /** The compiled active configuration; undefined before the first generation. */
   get inForce(): Compiled | undefined {
     return this.compiled;
   }
 
   /**
-   * Puts a version in force if it is higher; says whether it did. Of two contents of one generation the platform's counts, whatever
-   * this daemon took for it. Fails for content that doesn't check.
+   * Adopts a version with a higher generation; returns whether it did. If the platform has other content under the active generation, that
+   * replaces the active content. Throws if the content is invalid.
    */
   adopt(version: AppliedVersion, from: Origin): boolean {
     const before = { generation: this.generation, digest: this.digest };
@@ -103,7 +103,7 @@
     }
     const changes = differences(this.version?.sections ?? new Map(), sections);
     this.compiled = this.compile(sections);
-    invariant(version.generation >= this.generation, 'Configuration: a generation went back.');
+    invariant(version.generation >= this.generation, 'Configuration: the generation decreased.');
     this.version = { ...version, sections };
     this.contentDigest = digest;
     this.confirmed = from === 'platform';
@@ -113,22 +113,22 @@
     return true;
   }
 
-  /** Puts a whole in force that no apply of ours made. */
+  /** Adopts the full content of a version that no apply of this system created. */
   adoptWhole(generation: number, sections: Sections, from: Origin): boolean {
     return this.adopt({ generation, applyId: String(generation), sections }, from);
   }
 
-  /** Asks a peer for what this daemon lacks. */
+  /** Creates a request to a peer for what this daemon lacks. */
   question(): ConfigurationRequest {
     return { generation: this.generation, digest: this.digest };
   }
 
-  /** What a peer that asks lacks: a difference where this daemon has had the same content, else the whole. */
-  answer(asked: ConfigurationRequest): ConfigurationAnswer {
+  /** Creates the response to a peer's request: a difference if this daemon remembers the peer's content, otherwise the full content. */
+  answer(request: ConfigurationRequest): ConfigurationAnswer {
     const { generation, applyId, digest, version } = this;
-    const same = { generation, applyId, digest, baseDigest: asked.digest, sections: [] };
-    if (!version || asked.generation >= generation) return same;
-    const base = this.rememberedContents.get(asked.digest);
+    const same = { generation, applyId, digest, baseDigest: request.digest, sections: [] };
+    if (!version || request.generation >= generation) return same;
+    const base = this.rememberedContents.get(request.digest);
     if (!base) return { ...same, baseDigest: '', sections: sectionsOf(version.sections) };
     const changed = differences(base, version.sections).map(({ section: name }) => ({
       name,
@@ -138,32 +138,33 @@
   }
 
   /**
-   * Puts a peer's answer in force if it is higher and made for what is in force here. Fails if it doesn't lead to the content that it was
-   * told to lead to.
+   * Adopts a peer's response if its generation is higher and its base is the active content. Throws if the resulting content does not have
+   * the digest of the response.
    */
-  adoptAnswer(answer: ConfigurationAnswer, from: Origin): boolean {
-    const isWhole = answer.baseDigest === '';
-    if (answer.generation <= this.generation || (!isWhole && answer.baseDigest !== this.digest)) return false;
+  adoptAnswer(response: ConfigurationAnswer, from: Origin): boolean {
+    const isWhole = response.baseDigest === '';
+    if (response.generation <= this.generation || (!isWhole && response.baseDigest !== this.digest))
+      return false;
     const sections = new Map(isWhole ? [] : this.version?.sections);
-    for (const { name, content } of answer.sections) {
+    for (const { name, content } of response.sections) {
       if (content === '') sections.delete(name);
       else sections.set(name, content);
     }
-    if (digestOf(sections) !== answer.digest) {
-      const message = `Generation ${String(answer.generation)} of ${from} isn't the content that it was told to be.`;
+    if (digestOf(sections) !== response.digest) {
+      const message = `Generation ${String(response.generation)} of ${from} does not have the content of its digest.`;
       throw new Failure(message, { result: 'innerMessageInvalid' });
     }
-    const { generation, applyId } = answer;
+    const { generation, applyId } = response;
     return this.adopt({ generation, applyId, sections }, from);
   }
 
-  /** The sections in one order, whatever the way on which they came; those that are as they were share their memory. */
+  /** Sorts the sections, so that their order does not depend on how they were received; unchanged ones share the memory of the active version. */
   private normalise(sections: Sections): Sections {
-    const known = this.version?.sections;
-    const inOrder = [...sections].sort(([a], [b]) => (a < b ? -1 : 1));
+    const active = this.version?.sections;
+    const sorted = [...sections].sort(([a], [b]) => (a < b ? -1 : 1));
     return new Map(
-      inOrder.map(([name, content]) => {
-        const before = known?.get(name);
+      sorted.map(([name, content]) => {
+        const before = active?.get(name);
         return [name, before === content ? before : content];
       }),
     );
--- a/packages/configuration/src/configurationSpread.ts
+++ b/packages/configuration/src/configurationSpread.ts
@@ -1,4 +1,4 @@
-/** Brings new generations to this daemon: from the platform if it is one of the few readers, else from peers. */
+/** Fetches new generations for this daemon: from the platform if it is one of the few platform readers, otherwise from peers. */
 import { type Clock, type Random } from '@cleatquay/clock';
 import { asFailure } from '@cleatquay/errors';
 import { ConfigurationAnswer, type ConfigurationRequest } from '@cleatquay/protocol';
@@ -8,44 +8,44 @@
 
 const READ_INTERVAL_MS = 1000;
 const MAX_READ_INTERVAL_MS = 15_000;
-/** Pause before peers that did not help are asked once more, ms: two rounds fit into the 2 s in which a change has to be in force. */
+/** Delay before a failed round of requests to peers is repeated, ms: two rounds fit into the 2 s within which a change has to be active. */
 const PEER_RETRY_DELAY_MS = 300;
-/** A peer that has not answered for so long is not waited for before the next one is asked, ms: ten round trips between the farthest. */
+/** How long to wait for a response before the next peer is asked, ms: ten round trips over the longest distance. */
 const PEER_TIMEOUT_MS = 250;
 
-/** What a peer says of its configuration. */
+/** The configuration that a peer announces. */
 export interface HeardConfiguration {
   readonly generation: number;
-  /** First half of the digest of its content; 0 if the peer doesn't tell. */
+  /** First half of the digest of its content; 0 if the peer does not report one. */
   readonly shortDigest: number;
 }
 
-/** What the spread needs of its daemon. */
+/** Options of `ConfigurationDistribution`. */
 export interface SpreadOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly configuration: Configuration<unknown>;
-  /** Absent when the daemon's settings name no platform. */
+  /** Absent if the daemon's settings have no platform. */
   readonly store: ConfigurationStore | undefined;
-  /** Told what each read proves. */
+  /** Receives the freshness proof of each read. */
   readonly freshness: Freshness;
-  /** Whether this daemon is one of those of its failure domain that read the platform. */
+  /** Whether this daemon is one of the platform readers of its failure domain. */
   readonly isReader: () => boolean;
-  /** Told after each read whether the platform can be reached. */
+  /** Called after each read with whether the platform is reachable. */
   readonly onReach: (isReached: boolean) => void;
-  /** Asks a peer for what this daemon lacks. */
-  readonly fetch: (peer: string, question: ConfigurationRequest) => Promise<ConfigurationAnswer>;
-  /** Whom to ask for what these peers say that they have, in order. */
-  readonly inOrder: (holders: readonly string[]) => readonly string[];
-  /** How long a source of this daemon's own has to bring what a peer has, before the peer is asked, ms. */
+  /** Fetches what this daemon lacks from a peer. */
+  readonly fetch: (peer: string, request: ConfigurationRequest) => Promise<ConfigurationAnswer>;
+  /** The peers to ask, in order, given those that have announced a higher generation. */
+  readonly inOrder: (candidates: readonly string[]) => readonly string[];
+  /** Delay before a version is fetched from a peer, ms, in which this daemon's own source may provide it. */
   readonly patienceMs: (peer: string) => number;
-  /** Told that a peer has another content under the generation in force, which no read of the platform has confirmed here. */
+  /** Called if a peer has other content under the active generation, and no read of the platform has confirmed this daemon's content. */
   readonly onDoubt: (peer: string) => void;
-  /** Told that a peer did not give what it was asked for. */
+  /** Called if a fetch from a peer failed. */
   readonly onPeerFailure: (peer: string, reason: string) => void;
 }
 
-/** Two tasks: one reads the platform, one fetches from peers what gossip says they have. */
+/** Two tasks: one reads the platform, the other fetches the versions that peers announce by gossip. */
 export class ConfigurationSpread implements AsyncDisposable {
   readonly state = {
     platformReads: 0,
@@ -58,21 +58,21 @@
   private readonly stopped = new AbortController();
   private reading: Promise<void> = Promise.resolve();
   private fetching: Promise<void> | undefined;
-  /** Peers by the higher generation that they said they have, until they fail to give it. */
+  /** Generations higher than the active one, by the peers that announced them; a peer is removed when a fetch from it fails. */
   private readonly generationsByPeer = new Map<string, number>();
-  /** The last generation of which a peer had another content. */
+  /** The last generation for which a peer had other content. */
   private mismatchedGeneration = 0;
   private isUnreachable = false;
 
   constructor(private readonly options: SpreadOptions) {}
 
-  /** Starts to read the platform, if there is one. */
+  /** Starts to read the platform, if the daemon has one. */
   start(): void {
     const { store } = this.options;
     if (store) this.reading = this.readForever(store);
   }
 
-  /** A peer says which configuration it has. */
+  /** Handles a peer's announcement of its configuration. */
   heard({ generation, shortDigest }: HeardConfiguration, peer: string): void {
     const { configuration, onDoubt } = this.options;
     const isOther = generation === configuration.generation && shortDigest !== configuration.shortDigest;
@@ -100,10 +100,11 @@
 
   private async readForever(store: ConfigurationStore): Promise<void> {
     const { clock, random } = this.options;
-    let pause = READ_INTERVAL_MS;
+    let intervalMs = READ_INTERVAL_MS;
     while (!this.stopped.signal.aborted) {
-      if (this.mayRead) pause = (await this.readOnce(store)) ? READ_INTERVAL_MS : this.nextInterval(pause);
-      await clock.sleep(pause * (0.75 + random() / 2), this.stopped.signal);
+      if (this.mayRead)
+        intervalMs = (await this.readOnce(store)) ? READ_INTERVAL_MS : this.nextInterval(intervalMs);
+      await clock.sleep(intervalMs * (0.75 + random() / 2), this.stopped.signal);
     }
   }
 
@@ -112,13 +113,13 @@
     return this.mismatchedGeneration === generation && !isConfirmed;
   }
 
-  /** A daemon whose reads fail goes on trying, so that it may read for others again. */
+  /** A daemon whose reads fail keeps reading, so that it notices when it can be a platform reader again. */
   private get mayRead(): boolean {
     return this.options.isReader() || this.hasMismatch || this.isUnreachable;
   }
 
-  private nextInterval(pause: number): number {
-    return Math.min(MAX_READ_INTERVAL_MS, pause * 2);
+  private nextInterval(intervalMs: number): number {
+    return Math.min(MAX_READ_INTERVAL_MS, intervalMs * 2);
   }
 
   private async readOnce(store: ConfigurationStore): Promise<boolean> {
@@ -145,18 +146,18 @@
     }
   }
 
-  /** Asks only peers that have what is missing, or may have it: of many daemons, few may have a version that is new. */
+  /** Asks only peers that have announced the missing version, or may have it: right after a change few daemons have it. */
   private async fetchUntilCaughtUp(first: string): Promise<void> {
     const { clock, patienceMs } = this.options;
     const { signal } = this.stopped;
     await clock.sleep(patienceMs(first), signal);
     const asked = new Set<string>();
     for (
-      let holders = this.peersAhead();
-      holders.length > 0 && !signal.aborted;
-      holders = this.peersAhead()
+      let candidates = this.peersAhead();
+      candidates.length > 0 && !signal.aborted;
+      candidates = this.peersAhead()
     ) {
-      const peer = this.options.inOrder(holders).find(address => !asked.has(address));
+      const peer = this.options.inOrder(candidates).find(address => !asked.has(address));
       if (peer === undefined) {
         asked.clear();
         await clock.sleep(PEER_RETRY_DELAY_MS, signal);
@@ -168,28 +169,28 @@
     this.generationsByPeer.clear();
   }
 
-  /** Peers that have a higher generation than this daemon. */
+  /** Peers that have announced a higher generation than the active one. */
   private peersAhead(): string[] {
     const { generation } = this.options.configuration;
     return [...this.generationsByPeer].filter(([, theirs]) => theirs > generation).map(([peer]) => peer);
   }
 
-  /** Gives up waiting, not the question: an answer that comes later is taken all the same. */
+  /** Stops waiting after a timeout without cancelling the fetch: a later response is still adopted. */
   private async fetchWithin(ms: number, peer: string): Promise<void> {
     const { clock } = this.options;
-    const answered = new AbortController();
-    const late = clock.sleep(ms, answered.signal);
-    await Promise.race([this.fetchOnce(peer), late]);
-    answered.abort();
+    const settled = new AbortController();
+    const timeout = clock.sleep(ms, settled.signal);
+    await Promise.race([this.fetchOnce(peer), timeout]);
+    settled.abort();
   }
 
   private async fetchOnce(peer: string): Promise<void> {
     const { configuration } = this.options;
     this.state.peerFetches++;
     try {
-      const answer = await this.options.fetch(peer, configuration.question());
-      this.state.peerBytes += ConfigurationAnswer.encode(answer).finish().length;
-      configuration.adoptAnswer(answer, peer);
+      const response = await this.options.fetch(peer, configuration.question());
+      this.state.peerBytes += ConfigurationAnswer.encode(response).finish().length;
+      configuration.adoptAnswer(response, peer);
     } catch (error) {
       this.generationsByPeer.delete(peer);
       this.state.peerFailures++;
--- a/packages/configuration/src/configurationStore.ts
+++ b/packages/configuration/src/configurationStore.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration in the platform: sections and manifests as immutable objects, and one row that names the
- * generation in force. Only a conditional write of that row accepts a generation.
+ * The configuration in the platform: sections and manifests as immutable objects, and one row that refers to the
+ * current generation. A generation is accepted only by a conditional write of that row.
  */
 import { type Clock } from '@cleatquay/clock';
 import { Failure, asFailure } from '@cleatquay/errors';
@@ -28,7 +28,7 @@
   readonly recent: readonly Generation[];
 }
 
-/** Where each section is kept. */
+/** The object that holds each section. */
 interface Manifest {
   readonly sections: Record<string, { readonly object: string }>;
 }
@@ -42,31 +42,33 @@
 
 const EMPTY: AppliedVersion = { generation: 0, applyId: '', sections: new Map() };
 
-/** Reads and advances the configuration. */
+/** Reads the configuration, and applies new generations. */
 export class ConfigurationStore {
   constructor(
     private readonly platform: Table & ObjectStore,
     private readonly clock: Clock,
   ) {}
 
-  /** The number of the generation in force; 0 before the first. */
+  /** The number of the current generation; 0 before the first. */
   async generation(): Promise<number> {
     return (await this.current()).generation;
   }
 
-  /** The generation in force, without its content. */
+  /** The current generation, without its content. */
   async current(): Promise<Pick<Generation, 'generation' | 'applyId'>> {
     const { value } = await this.readRow();
     return value ?? EMPTY;
   }
 
-  /** The version in force, or an accepted one of the last fifty. */
+  /** The current version, or one of the last fifty accepted ones. */
   async read(generation?: number): Promise<AppliedVersion> {
     const { value } = await this.readRow();
     if (!value) return EMPTY;
     const wanted = generation === undefined ? value : value.recent.find(g => g.generation === generation);
     if (wanted) return this.load(wanted);
-    throw new Failure(`Generation ${String(generation)} is not kept.`, { result: 'objectMissing' });
+    throw new Failure(`Generation ${String(generation)} is no longer in the history.`, {
+      result: 'objectMissing',
+    });
   }
 
   /** The last accepted generations, newest first. */
@@ -76,8 +78,8 @@
   }
 
   /**
-   * Makes `file` the next generation, on top of `base` if given and of what is in force otherwise.
-   * Fails with `applyConflict` when another operator was first; a lost answer is resolved by the apply id.
+   * Makes `file` the next generation after `base`, or after the current one if `base` is absent. Throws `applyConflict` if another operator
+   * applied a generation first. If the response to the write is lost, the apply id tells whether the write took effect.
    */
   async apply(file: OperatorFile, base?: number): Promise<{ applied: Generation; changes: Change[] }> {
     const { value, version } = await this.readRow();
@@ -112,7 +114,7 @@
     return { ...applied, recent } satisfies ConfigurationRow;
   }
 
-  /** Repeats the conditional write until it is known who won; repeating it can't apply it twice. */
+  /** Retries the conditional write until its result is known; a retry cannot apply it twice. */
   private async accept(next: ConfigurationRow, version: number, file: OperatorFile): Promise<void> {
     await this.withRetries(async () => {
       const result = await this.platform.commit([
@@ -125,12 +127,12 @@
     });
   }
 
-  /** Objects never change, so that writing one again is harmless. */
+  /** Objects are immutable, so that a write can be retried safely. */
   private writeObject(name: string, content: string): Promise<void> {
     return this.withRetries(() => this.platform.put(name, content));
   }
 
-  /** Repeats what is safe to repeat while the platform gives no answer. */
+  /** Retries an idempotent action while the platform does not respond. */
   private async withRetries(action: () => Promise<void>): Promise<void> {
     for (let attempt = 1; ; attempt++) {
       try {
@@ -144,10 +146,10 @@
   }
 
   private async conflict(file: OperatorFile, row: ConfigurationRow | undefined): Promise<Failure> {
-    const theirs = row ? await this.load(row) : EMPTY;
-    const changes = differences(splitSections(file), theirs.sections);
+    const current = row ? await this.load(row) : EMPTY;
+    const changes = differences(splitSections(file), current.sections);
     const list = changes.map(change => `${change.section} ${change.kind}`).join(', ') || 'nothing';
-    const message = `Generation ${String(theirs.generation)} is in force; against your file: ${list}.`;
+    const message = `Generation ${String(current.generation)} is active; changes relative to your file: ${list}.`;
     return new Failure(message, { result: 'applyConflict' });
   }
 
--- a/packages/configuration/src/configurationWatch.ts
+++ b/packages/configuration/src/configurationWatch.ts
@@ -1,6 +1,6 @@
 /**
- * Follows a source of configurations, and puts each new version in force. All daemons could; a few in each failure domain do, and the
- * others hear from them, so that the source is asked by a number of daemons that doesn't grow with the fleet.
+ * Watches a source of configurations, and adopts each new version. Only a few daemons in each failure domain do so, and the others receive
+ * versions from them, so that the number of daemons that read the source does not grow with the fleet.
  */
 import { type Clock } from '@cleatquay/clock';
 import { type Failure, asFailure } from '@cleatquay/errors';
@@ -8,53 +8,50 @@
 import { type Freshness, type Moment } from './freshness.js';
 import { type Sections } from './sections.js';
 
-/** How often a daemon that leaves the source to others looks whether it should follow it itself, ms. */
+/** Interval at which a daemon that does not read the source checks whether it has to, ms. */
 const CHECK_INTERVAL_MS = 500;
-/**
- * A daemon that leaves the source to others looks itself after so long, ms: what it would miss if all who follow the source for it had
- * failed in a way that it can't see.
- */
+/** A daemon that leaves the source to others still reads it after so long, ms, in case all platform readers fail in a way that it can't detect. */
 const FALLBACK_READ_INTERVAL_MS = 60_000;
 
 /**
- * A daemon whose reads failed, and for which others now read, looks after so long whether they still do, ms: after it, it may read for others
- * again. Of a failure domain at most six do so (`readers.ts`).
+ * A daemon whose reads failed, and which therefore leaves the source to others, retries after so long, ms; after a success it can be a
+ * platform reader again. In a failure domain at most six daemons do so (`platformReaders.ts`).
  */
 const UNREACHABLE_READ_INTERVAL_MS = 5000;
 
-/** A version as a source gives it. */
+/** A version as returned by a source. */
 export interface SourcedVersion {
   readonly generation: number;
   readonly sections: Sections;
 }
 
-/** Where configurations come from. Calls fail when the source can't be reached, or for content that can't be read. */
+/** A source of configurations. Calls reject if the source is unreachable, or the content is invalid. */
 export interface ConfigurationSource {
   /** The newest version; undefined before the first. */
   readonly read: (signal: AbortSignal) => Promise<SourcedVersion | undefined>;
   /**
-   * The newest version if there is another than at the last call of either kind; undefined when there was none for `waitMs`. Fails soon after
-   * that time where the source has fallen silent.
+   * The newest version as soon as it differs from that of the last call of either kind; undefined if there was none within `waitMs`. Rejects
+   * soon after that time if the source is unresponsive.
    */
   readonly next: (waitMs: number, signal: AbortSignal) => Promise<SourcedVersion | undefined>;
 }
 
-/** What a watch needs of its daemon. */
+/** Options of `ConfigurationWatcher`. */
 export interface ConfigurationWatchOptions {
   readonly clock: Clock;
   readonly configuration: Configuration<unknown>;
   readonly source: ConfigurationSource;
-  /** Told what each read proves. */
+  /** Receives the freshness proof of each call. */
   readonly freshness: Freshness;
-  /** Whether this daemon has to follow the source itself just now. */
+  /** Whether this daemon has to read the source itself at present. */
   readonly isOnDuty: () => boolean;
-  /** How long to wait for the next version, ms; `isFirst` where the last call brought one. */
+  /** Maximum wait for the next version, ms; `isFirst` if the last call returned one. */
   readonly waitMs: (isFirst: boolean) => number;
-  /** How often to read without waiting for a change, ms; undefined to wait. A wait proves how things stood when it was begun, so that it is old when it ends. */
+  /** Interval of reads that don't wait for a change, ms; undefined to wait. A wait is a proof as of its beginning, which is old when it ends. */
   readonly paceMs: () => number | undefined;
-  /** How long to pause after a read that failed, ms. */
+  /** Delay after a failed read, ms. */
   readonly pauseMs: () => number;
-  /** Told after each call whether the source can be reached. */
+  /** Called with whether the source is reachable, after each successful call and each failed read. */
   readonly onReach: (isReached: boolean) => void;
   readonly log: (message: string, facts: object) => void;
 }
@@ -71,14 +68,13 @@
 
   constructor(private readonly options: ConfigurationWatchOptions) {}
 
-  /** Starts to watch. */
   start(): void {
     this.watching = this.watch();
   }
 
   /**
-   * A peer has another content under the generation in force. Only the source can tell which is right; it is read, whoever else does,
-   * until it has told.
+   * A peer has other content under the active generation. Only the source can tell which is right: this daemon reads it until that
+   * confirms the generation, even if other daemons read it, too.
    */
   doubt(): void {
     this.mismatchedGeneration = this.options.configuration.generation;
@@ -98,12 +94,12 @@
         continue;
       }
       this.checkedAt = this.options.clock.now();
-      // A wait that failed says little: its connection may have been old. The source is read at once on another one.
-      const hasWaited = this.nextCall !== 'read';
+      // A wait may have failed only because its connection was stale: the source is read at once on another one.
+      const wasWait = this.nextCall !== 'read';
       const begunAt = this.checkedAt;
-      const hasWorked = await this.runNextCall(signal);
-      if (hasWorked) await this.waitForInterval(begunAt, signal);
-      if (hasWorked || hasWaited) continue;
+      const hasSucceeded = await this.runNextCall(signal);
+      if (hasSucceeded) await this.waitForInterval(begunAt, signal);
+      if (hasSucceeded || wasWait) continue;
       await this.options.clock.sleep(this.options.pauseMs(), signal);
     }
   }
@@ -114,7 +110,7 @@
     if (leftMs > 0) await clock.sleep(leftMs, signal);
   }
 
-  /** A daemon without any configuration looks, whoever else does. */
+  /** A daemon without a configuration always reads the source itself. */
   private mayCallSource(): boolean {
     const { clock, configuration, isOnDuty } = this.options;
     const { generation, isConfirmed } = configuration;
@@ -155,8 +151,8 @@
   }
 
   /**
-   * The source answers, so that there is nothing to repeat until it has another version. What makes no sense takes nothing away: the version before
-   * stays in force, and is the newest that may be.
+   * The source is reachable, so that there is nothing to retry until it has another version. After an invalid version the previous one stays
+   * active, and counts as the newest valid one.
    */
   private onRejectedVersion(failure: Failure, begun: Moment): boolean {
     this.options.freshness.confirmed(begun);
@@ -167,14 +163,14 @@
   }
 
   private onSourceReached(): void {
-    if (this.isUnreachable) this.options.log('The source is back.', {});
+    if (this.isUnreachable) this.options.log('The source is reachable again.', {});
     this.isUnreachable = false;
     this.options.onReach(true);
   }
 
-  /** Others are told after a read: a wait may have failed for the age of its connection alone. */
+  /** Only a failed read is reported: a wait may have failed only because its connection was stale. */
   private onSourceFailure(failure: Failure, hasRead: boolean): void {
-    if (!this.isUnreachable) this.options.log('The source is lost.', { reason: failure.describe() });
+    if (!this.isUnreachable) this.options.log('The source is unreachable.', { reason: failure.describe() });
     this.isUnreachable = true;
     if (hasRead) this.options.onReach(false);
   }
--- a/packages/configuration/src/freshness.ts
+++ b/packages/configuration/src/freshness.ts
@@ -1,36 +1,36 @@
 /**
- * How lately the configuration in force is known to have been the newest in the platform. Keys that were taken away must not be honoured
- * for longer than a bound, also by a daemon that hears of nothing: what can't be shown to be new is taken for old.
+ * Freshness of the active configuration: how long ago it is known to have been the newest in the platform. Revoked keys must not be accepted
+ * for longer than a configured time, even by a daemon without any connection: a configuration without a recent proof is treated as stale.
  *
- * A proof is a moment as of which no newer version had been accepted: that at which a read of the platform was begun, never that at which its
- * answer came. From one daemon to the next it travels as an age in the answer to a question, and counts from the moment at which the question was
- * asked, so that an answer that is held up on the way, or comes again, makes it older and never younger. A version that is in
- * force was accepted after all versions before it, so that a proof for one of them holds for it, too.
+ * A proof is a moment as of which no newer version had been accepted: the moment at which a read of the platform began, never that of its
+ * response. Between daemons a proof travels as an age in the response to a request, and counts from the moment at which the request was sent,
+ * so that a delayed or duplicated response makes it older, never younger. The active version was accepted after all versions before it,
+ * so that a proof for an earlier version also holds for it.
  */
 import { type Clock } from '@cleatquay/clock';
 
-/** A moment, as two clocks of this VM have it, ms. Only differences mean anything. */
+/** A moment by two clocks of this VM, ms. Only differences are meaningful. */
 export interface Moment {
   readonly monotonic: number;
   readonly date: number;
 }
 
-/** What a daemon says of its configuration. */
+/** A freshness proof received from another daemon. */
 export interface HeardProof {
   readonly generation: number;
   /** First half of the digest of its content. */
   readonly shortDigest: number;
-  /** How long ago it was known to be the newest, ms. */
+  /** How long ago that configuration was known to be the newest, ms. */
   readonly ageMs: number;
 }
 
-/** The configuration whose freshness is told. */
+/** Identifies the active configuration, to which proofs apply. */
 export interface ProvenConfiguration {
   readonly generation: number;
   readonly shortDigest: number;
 }
 
-/** The youngest proof that this daemon has. */
+/** The most recent freshness proof of this daemon. */
 export class Freshness {
   private provenAt: Moment | undefined;
 
@@ -39,31 +39,31 @@
     private readonly configuration: ProvenConfiguration,
   ) {}
 
-  /** The present moment: to be taken before a read is begun, or a question is asked. */
+  /** The present moment; take it before a read begins or a request is sent. */
   moment(): Moment {
     return { monotonic: this.clock.now(), date: this.clock.date().getTime() };
   }
 
-  /** How long ago what is in force was known to be the newest, ms; infinite if it never was. */
+  /** Age of the proof, ms: how long ago the active configuration was known to be the newest. Infinite without a proof. */
   get ageMs(): number {
     return this.provenAt ? this.elapsedMs(this.provenAt) : Number.POSITIVE_INFINITY;
   }
 
-  /** A read of the platform that was begun then found nothing newer than what is in force now. */
+  /** A read of the platform that began at `begun` found nothing newer than the active configuration. */
   confirmed(begun: Moment): void {
     if (this.configuration.generation > 0) this.offer(begun);
   }
 
   /**
-   * A peer answered a question that was asked then. Ignored for a version that is newer than what is in force here, and for another content of the same
-   * version.
+   * Receives a peer's proof in the response to a request that was sent at `requestedAt`. It is ignored if its version is newer than the active
+   * one, or has other content under the same generation.
    */
-  heard({ generation, shortDigest, ageMs }: HeardProof, asked: Moment): void {
+  heard({ generation, shortDigest, ageMs }: HeardProof, requestedAt: Moment): void {
     const { configuration } = this;
     const isOther = generation === configuration.generation && shortDigest !== configuration.shortDigest;
     const isUsable = generation > 0 && generation <= configuration.generation && !isOther;
     if (!isUsable || !(ageMs >= 0)) return;
-    this.offer({ monotonic: asked.monotonic - ageMs, date: asked.date - ageMs });
+    this.offer({ monotonic: requestedAt.monotonic - ageMs, date: requestedAt.date - ageMs });
   }
 
   private offer(moment: Moment): void {
@@ -71,8 +71,8 @@
   }
 
   /**
-   * By the clock that went on more: the steady one of most systems stands still while the VM is suspended, and the time of day may be set back. One
-   * that is set forward makes proofs too old for a moment, until the next one.
+   * The larger of the times elapsed by the two clocks: on most systems the monotonic clock stops while the VM is suspended, and the time of day may
+   * be set back. If that is set forward, proofs count as too old until the next one.
    */
   private elapsedMs({ monotonic, date }: Moment): number {
     return Math.max(this.clock.now() - monotonic, this.clock.date().getTime() - date);
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -1,4 +1,4 @@
-/** Accepting the operators' configuration, keeping it, and bringing it to every daemon. */
+/** Applies, stores and distributes the operators' configuration. */
 export { type Adoption, Configuration, type Origin } from './configuration.js';
 export { ConfigurationStore, type AppliedVersion, type Generation } from './configurationStore.js';
 export { ConfigurationSpread, type SpreadOptions } from './configurationSpread.js';
--- a/packages/configuration/src/sections.ts
+++ b/packages/configuration/src/sections.ts
@@ -1,4 +1,4 @@
-/** A configuration in sections, one for each service and each organisation and one for the rest, so that small changes travel small. */
+/** A configuration in sections, one per service, one per organisation and one for the rest, so that a small change is a small transfer. */
 import { type OperatorFile, checkOperatorFile } from '@cleatquay/settings';
 import { createHash } from 'node:crypto';
 
@@ -6,19 +6,19 @@
 const SERVICE = 'service:';
 const ORGANISATION = 'organisation:';
 
-/** Hexadecimal digits of a digest: 64 bits, so that two contents share one by chance once in billions of billions. */
+/** Hexadecimal digits of a digest: 64 bits, so that the odds of a collision are about one in 10^19. */
 const DIGEST_DIGITS = 16;
 
-/** JSON by section name. */
+/** JSON text by section name. */
 export type Sections = ReadonlyMap<string, string>;
 
-/** One section that two configurations don't share. */
+/** A section that differs between two configurations. */
 export interface Change {
   readonly section: string;
   readonly kind: 'added' | 'removed' | 'changed';
 }
 
-/** Takes a file apart. */
+/** Splits a file into sections. */
 export function splitSections(file: OperatorFile): Sections {
   const { services, organisations, ...rest } = file;
   const general = { ...rest, ...(organisations && { organisations: {} }) };
@@ -29,7 +29,7 @@
   ]);
 }
 
-/** Puts a file together again and checks it. */
+/** Joins sections into a file, and validates it. */
 export function joinSections(sections: Sections): OperatorFile {
   const general = JSON.parse(sections.get(GENERAL) ?? '{}') as { organisations?: object };
   const organisations = general.organisations && partsOf(sections, ORGANISATION);
@@ -48,7 +48,7 @@
   );
 }
 
-/** Names the content: equal sections in whatever order have the same digest, others have another one. */
+/** Digest of the content, independent of the order of the sections. */
 export function digestOf(sections: Sections): string {
   const hash = createHash('sha256');
   for (const name of [...sections.keys()].sort()) {
@@ -58,7 +58,7 @@
   return hash.digest('hex').slice(0, DIGEST_DIGITS);
 }
 
-/** What changes on the way from one to the other. */
+/** The changes from one configuration to another. */
 export function differences(from: Sections, to: Sections): Change[] {
   const names = [...new Set([...from.keys(), ...to.keys()])].sort();
   return names.flatMap((section): Change[] => {
--- a/packages/store/src/httpStore.ts
+++ b/packages/store/src/httpStore.ts
@@ -1,4 +1,4 @@
-/** The platform over HTTP. */
+/** HTTP client of the platform. */
 import { Failure } from '@cleatquay/errors';
 import { Pool } from 'undici';
 import { type CommitResult, type ObjectStore, type Row, type RowWrite, type Table } from './store.js';
@@ -6,7 +6,7 @@
 const MAX_CONNECTIONS = 4;
 const DEFAULT_TIMEOUT_MS = 2000;
 
-/** Client of both services at one URL. Makes no retries: its users know what may be repeated. */
+/** Client of the table service and the object store at one URL. It does not retry: callers know which requests are idempotent. */
 export class HttpStore implements Table, ObjectStore, AsyncDisposable {
   private readonly pool: Pool;
 
@@ -22,18 +22,18 @@
   }
 
   async read(key: string): Promise<Row | undefined> {
-    const answer = await this.request('GET', `/table/${encodeURIComponent(key)}`);
-    return answer.status === 404 ? undefined : parse<Row>(answer.text);
+    const response = await this.request('GET', `/table/${encodeURIComponent(key)}`);
+    return response.status === 404 ? undefined : parse<Row>(response.text);
   }
 
   async commit(writes: readonly RowWrite[]): Promise<CommitResult> {
-    const answer = await this.request('POST', '/table', JSON.stringify({ writes }));
-    return parse<CommitResult>(answer.text);
+    const response = await this.request('POST', '/table', JSON.stringify({ writes }));
+    return parse<CommitResult>(response.text);
   }
 
   async get(name: string): Promise<string | undefined> {
-    const answer = await this.request('GET', `/objects/${encodeURIComponent(name)}`);
-    return answer.status === 404 ? undefined : answer.text;
+    const response = await this.request('GET', `/objects/${encodeURIComponent(name)}`);
+    return response.status === 404 ? undefined : response.text;
   }
 
   async put(name: string, content: string): Promise<void> {
@@ -47,12 +47,12 @@
   private async request(method: 'GET' | 'POST' | 'PUT', path: string, body?: string) {
     try {
       const signal = AbortSignal.timeout(this.timeoutMs);
-      const answer = await this.pool.request({ method, path, signal, body: body ?? null });
-      const text = await answer.body.text();
-      if (answer.statusCode < 500) return { status: answer.statusCode, text };
-      throw new Error(`status ${String(answer.statusCode)}`);
+      const response = await this.pool.request({ method, path, signal, body: body ?? null });
+      const text = await response.body.text();
+      if (response.statusCode < 500) return { status: response.statusCode, text };
+      throw new Error(`status ${String(response.statusCode)}`);
     } catch (error) {
-      throw new Failure(`The platform gave no answer to ${method} ${path}.`, {
+      throw new Failure(`The platform did not respond to ${method} ${path}.`, {
         result: 'platformDown',
         cause: error,
       });
@@ -64,7 +64,7 @@
   try {
     return JSON.parse(text) as T;
   } catch (error) {
-    throw new Failure("The platform's answer is not JSON.", {
+    throw new Failure("The platform's response is not JSON.", {
       result: 'platformAnswerInvalid',
       cause: error,
     });
--- a/packages/store/src/store.ts
+++ b/packages/store/src/store.ts
@@ -1,14 +1,14 @@
-/** Interfaces to the platform. Every call may fail with `platformDown`, also after it took effect. */
+/** Interfaces of the platform. Any call may fail with `platformDown`, possibly after it took effect. */
 
 /** A row of the table. */
 export interface Row {
   readonly key: string;
   readonly value: string;
-  /** Rises by one with each write of the row, from 1. */
+  /** Starts at 1, and increases by one with each write of the row. */
   readonly version: number;
 }
 
-/** What a row must be for a write to go through: its version, or 0 for absent. */
+/** The version that a row must have for a write to succeed; 0 if it must be absent. */
 export type Precondition = number;
 
 /** One write of a transaction. */
@@ -18,7 +18,7 @@
   readonly ifVersion: Precondition;
 }
 
-/** Either all writes went through, or none, and then the key of the first that didn't fit. */
+/** Either all writes were committed, or none; then `conflict` is the key of the first whose precondition failed. */
 export type CommitResult =
   { readonly committed: true } | { readonly committed: false; readonly conflict: string };
 
@@ -28,9 +28,9 @@
   commit(writes: readonly RowWrite[]): Promise<CommitResult>;
 }
 
-/** The object store; objects never change once written. */
+/** The object store. Objects are immutable. */
 export interface ObjectStore {
   get(name: string): Promise<string | undefined>;
-  /** Writing the same content again is no error. */
+  /** Writing the same content again is allowed. */
   put(name: string, content: string): Promise<void>;
 }
--- a/tests/changesInForce.spec.ts
+++ b/tests/changesInForce.spec.ts
@@ -101,7 +101,7 @@
     isLoaded = false;
     await Promise.all(loads);
     const isBack = ({ time, msg }: Record<string, unknown>) =>
-      Number(time) > start && msg === 'Configuration: The source is back.';
+      Number(time) > start && msg === 'Configuration: The source is reachable again.';
     for (const { logged } of fleet.nodes) expect(logged.some(isBack)).to.equal(true);
   });
 
