--- a/packages/configuration/src/configurationWatch.ts
+++ b/packages/configuration/src/configurationWatch.ts
@@ -11,13 +11,13 @@
 /** Interval at which a daemon that does not read the source checks whether it has to, ms. */
 const CHECK_INTERVAL_MS = 500;
 /** A daemon that leaves the source to others still reads it after so long, ms, in case all platform readers fail in a way that it can't detect. */
-const FALLBACK_READ_INTERVAL_MS = 60_000;
+const FALLBACK_READ_MS = 60_000;
 
 /**
  * A daemon whose reads failed, and which therefore leaves the source to others, retries after so long, ms; after a success it can be a
  * platform reader again. In a failure domain at most six daemons do so (`platformReaders.ts`).
  */
-const UNREACHABLE_READ_INTERVAL_MS = 5000;
+const UNREACHABLE_READ_MS = 5000;
 
 /** A version as returned by a source. */
 export interface SourcedVersion {
@@ -116,10 +116,7 @@
     const { generation, isConfirmed } = configuration;
     if (generation === 0 || isOnDuty() || (generation === this.mismatchedGeneration && !isConfirmed))
       return true;
-    return (
-      clock.now() - this.checkedAt >
-      (this.isUnreachable ? UNREACHABLE_READ_INTERVAL_MS : FALLBACK_READ_INTERVAL_MS)
-    );
+    return clock.now() - this.checkedAt > (this.isUnreachable ? UNREACHABLE_READ_MS : FALLBACK_READ_MS);
   }
 
   private async runNextCall(signal: AbortSignal): Promise<boolean> {
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -13,7 +13,7 @@
   isAddress,
   isUsableMember,
 } from '@cleatquay/protocol';
-import { BroadcastQueue } from './broadcastQueue.js';
+import { BroadcastQueue } from './broadcasts.js';
 import { LocalHealth } from './localHealth.js';
 import { MemberTable } from './memberTable.js';
 import { type KnownConfiguration, type MembershipOptions } from './membershipOptions.js';
