--- a/packages/settings/src/callGraph.ts
+++ b/packages/settings/src/callGraph.ts
@@ -1,4 +1,4 @@
-/** The declared call graph: finds the route of a request, and checks that the graph keeps its promises. */
+/** The declared call graph: finds the route of a request, and validates the graph. */
 import { Failure } from '@cleatquay/errors';
 import { Keyring, type Organisation, Ranks } from '@cleatquay/organisations';
 import { match } from 'path-to-regexp';
@@ -7,18 +7,18 @@
 /** `service.route` */
 export type RouteName = string;
 
-/** A route ready for use on the request path. */
+/** A compiled route. */
 export interface Route extends RouteDeclaration {
   readonly name: RouteName;
   readonly service: string;
-  /** Index of its class; 0 is the most important. */
+  /** Index of its class; 0 has the highest priority. */
   readonly rank: number;
   readonly matches: (path: string) => boolean;
 }
 
 const matchers = new Map<string, (path: string) => boolean>();
 
-/** Compiled once for each pattern: configurations change often, patterns hardly ever. */
+/** Matchers are cached by pattern: configurations change often, patterns rarely. */
 function matcherOf(pattern: string): (path: string) => boolean {
   const known = matchers.get(pattern);
   if (known) return known;
@@ -33,7 +33,7 @@
   private readonly byName = new Map<RouteName, Route>();
   private readonly byService = new Map<string, Route[]>();
   private readonly ranks: Ranks;
-  /** The keys that requests need; undefined where they need none. */
+  /** The keys that requests may use; undefined if requests need none. */
   readonly keyring: Keyring | undefined;
 
   constructor(readonly file: OperatorFile) {
@@ -56,24 +56,23 @@
     return this.ranks.count;
   }
 
-  /** Rank of a request on the route; 0 is the most important. */
+  /** Rank of a request on the route; 0 has the highest priority. */
   rankOf(route: Route, organisation: Organisation | undefined): number {
     return this.ranks.of(route.rank, organisation?.rank);
   }
 
-  /** The route of a request; `path` may carry a query. */
+  /** The route of a request; `path` may have a query. */
   find(service: string, method: string, path: string): Route | undefined {
     const query = path.indexOf('?');
     const bare = query < 0 ? path : path.slice(0, query);
     return this.byService.get(service)?.find(route => route.method === method && route.matches(bare));
   }
 
-  /** The route of that name. */
   get(name: RouteName): Route | undefined {
     return this.byName.get(name);
   }
 
-  /** Fails for calls to nowhere, cycles, and idempotent routes that reach one that isn't. */
+  /** Throws for calls of undeclared routes, cycles, and idempotent routes that reach a non-idempotent one. */
   check(): void {
     for (const route of this.byName.values()) this.checkCalls(route);
     for (const route of this.byName.values()) this.checkReachable(route, [route.name]);
--- a/packages/settings/src/check.ts
+++ b/packages/settings/src/check.ts
@@ -1,4 +1,4 @@
-/** Checks data against a schema and says what is wrong in terms of the field. */
+/** Validates data against a schema, and reports the first invalid field. */
 import { Failure, type ResultName } from '@cleatquay/errors';
 import { type Static, type TSchema } from '@sinclair/typebox';
 import { Value } from '@sinclair/typebox/value';
@@ -7,18 +7,18 @@
 
 const ajv = new Ajv({ allErrors: true, useDefaults: true, verbose: true, strict: false });
 
-/** Parses JSON, or fails with the place of the mistake as the parser gives it. */
+/** Parses JSON; throws with the parser's error, which has the position, as the cause. */
 export function parseJson(text: string, result: ResultName): unknown {
   try {
     return JSON.parse(text);
   } catch (error) {
-    throw new Failure('It is not JSON.', { result, cause: error });
+    throw new Failure('Invalid JSON.', { result, cause: error });
   }
 }
 
 /**
- * Returns a copy of `data` as the schema's type, with defaults filled in, or fails naming the first bad field. What was found there is shown,
- * unless it may hold something of the field `secret`.
+ * Returns a copy of `data` with defaults filled in, or throws with the first invalid field. The message shows the value found there, unless it
+ * may contain a part of the field `secret`.
  */
 export function check<T extends TSchema>(
   schema: T,
@@ -26,13 +26,13 @@
   result: ResultName,
   secret?: string,
 ): Static<T> {
-  // What fits is found without compiling the schema, which would delay the start of a process.
+  // Valid data is accepted without compiling the schema, which would delay the start of a process.
   const filled: unknown = Value.Default(schema, structuredClone(data));
   if (Value.Check(schema, filled)) return filled;
   return failWithReason(schema, data, result, secret);
 }
 
-/** Compiles the schema, whose errors say more, for data that doesn't fit. */
+/** Compiles the schema to report invalid data, since the errors of a compiled schema are more precise. */
 function failWithReason<T extends TSchema>(
   schema: T,
   data: unknown,
@@ -44,7 +44,7 @@
   if (validate(copy)) return copy as Static<T>;
   const errors = validate.errors ?? [];
   const error = errors.find(e => e.keyword === 'additionalProperties') ?? errors[0];
-  if (!error) throw new Failure('It does not fit the schema.', { result });
+  if (!error) throw new Failure('The data does not match the schema.', { result });
   const field = fieldOf(error);
   const isHidden = secret !== undefined && ['', secret].includes(error.instancePath.split('/')[1] ?? '');
   throw new Failure(isHidden ? 'Expected another value.' : describe(error), { result, field });
@@ -53,7 +53,7 @@
 function fieldOf(error: ErrorObject): string {
   const path = error.instancePath.slice(1).replaceAll('/', '.');
   const name = nameOf(error);
-  if (name === undefined) return path === '' ? '(the whole)' : path;
+  if (name === undefined) return path === '' ? '(root)' : path;
   return path === '' ? name : `${path}.${name}`;
 }
 
--- a/packages/settings/src/checkOperatorFile.ts
+++ b/packages/settings/src/checkOperatorFile.ts
@@ -1,14 +1,14 @@
-/** Reads the operators' file, and checks its form and its meaning. */
+/** Reads the operators' file, and validates its schema and its semantics. */
 import { Failure } from '@cleatquay/errors';
 import { readFileSync } from 'node:fs';
 import { CallGraph } from './callGraph.js';
 import { check, parseJson } from './check.js';
 import { type OperatorFile, OperatorFileSchema, type RouteDeclaration } from './operatorFile.js';
 
-/** Goes into a header of requests to upstreams. */
+/** The name is sent in a header of requests to upstreams. */
 const ORGANISATION_NAME = /^[\x21-\x7e]{1,200}$/;
 
-/** Checks form and meaning: classes and calls that exist, no cycle, idempotence kept all the way down. */
+/** Validates schema and semantics: classes and calls are declared, there is no cycle, and idempotent routes reach only idempotent ones. */
 export function checkOperatorFile(data: unknown): OperatorFile {
   const file = check(OperatorFileSchema, data, 'configurationInvalid');
   for (const [service, { routes }] of Object.entries(file.services)) {
@@ -21,23 +21,23 @@
 }
 
 function checkOrganisations({ organisations = {} }: OperatorFile): void {
-  const unnamed = Object.keys(organisations).find(name => !ORGANISATION_NAME.test(name));
-  if (unnamed !== undefined) {
-    const message = `Expected 1 to 200 letters, digits or signs, found "${unnamed.slice(0, 80)}".`;
+  const invalidName = Object.keys(organisations).find(name => !ORGANISATION_NAME.test(name));
+  if (invalidName !== undefined) {
+    const message = `Expected 1 to 200 printable ASCII characters without spaces, found "${invalidName.slice(0, 80)}".`;
     throw new Failure(message, { result: 'configurationInvalid', field: 'organisations' });
   }
-  const holders = new Map<string, string>();
+  const owners = new Map<string, string>();
   for (const [name, { keyDigests }] of Object.entries(organisations)) {
     for (const digest of new Set(keyDigests)) {
-      const other = holders.get(digest);
+      const other = owners.get(digest);
       if (other !== undefined) {
         const field = `organisations.${name}.keyDigests`;
-        throw new Failure(`Expected keys of its own, found one of "${other}".`, {
+        throw new Failure(`Expected keys that no other organisation has, found one of "${other}".`, {
           result: 'configurationInvalid',
           field,
         });
       }
-      holders.set(digest, name);
+      owners.set(digest, name);
     }
   }
 }
@@ -48,7 +48,7 @@
   throw new Failure(message, { result: 'configurationInvalid', field: `${field}.class` });
 }
 
-/** Reads and checks a file from disk. */
+/** Reads and validates a file. */
 export function readOperatorFile(path: string): OperatorFile {
   let text: string;
   try {
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,4 +1,4 @@
-/** What a process is told at its start, and what operators declare; each checked against its schema. */
+/** Process settings and the operators' file, each validated against its schema. */
 export {
   type ProcessSettings,
   ProcessSettingsSchema,
--- a/packages/settings/src/operatorFile.ts
+++ b/packages/settings/src/operatorFile.ts
@@ -1,20 +1,23 @@
-/** The operators' file: services, routes, importance, idempotence, who calls whom, limits. */
+/** Schema of the operators' file: services, routes, priority classes, idempotence, calls, limits. */
 import { type Static, Type } from '@sinclair/typebox';
 
 const RouteSchema = Type.Object(
   {
     method: Type.Union(['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE'].map(method => Type.Literal(method))),
-    path: Type.String({ pattern: '^/', description: 'pattern below the service, as in /trucks/:truck' }),
+    path: Type.String({
+      pattern: '^/',
+      description: 'path pattern within the service, such as /trucks/:truck',
+    }),
     class: Type.String({ description: 'one of "classes"' }),
     idempotent: Type.Boolean(),
     timeoutMs: Type.Integer({ minimum: 1, maximum: 600_000 }),
     public: Type.Boolean({
       default: false,
-      description: 'whether callers need no key, where there are organisations',
+      description: 'whether requests need no key although organisations are declared',
     }),
     calls: Type.Array(Type.String({ pattern: '^[^.]+\\.[^.]+$' }), {
       default: [],
-      description: 'routes it may call, as service.route',
+      description: 'routes that it may call, as service.route',
     }),
   },
   { additionalProperties: false },
@@ -24,7 +27,7 @@
   {
     slots: Type.Integer({
       minimum: 1,
-      description: 'work that one upstream runs at once, unless it announces less',
+      description: 'maximum number of concurrent requests of one upstream, unless it announces less',
     }),
     maxQueueMs: Type.Integer({ minimum: 0, maximum: 10_000, default: 50 }),
     routes: Type.Record(Type.String({ pattern: '^[A-Za-z][\\w-]*$' }), RouteSchema),
@@ -34,8 +37,8 @@
 
 const QuotaSchema = Type.Object(
   {
-    perSecond: Type.Number({ exclusiveMinimum: 0, description: 'requests a second, in the whole fleet' }),
-    burst: Type.Number({ minimum: 0, default: 0, description: 'requests beyond that, at once' }),
+    perSecond: Type.Number({ exclusiveMinimum: 0, description: 'requests per second, over the whole fleet' }),
+    burst: Type.Number({ minimum: 0, default: 0, description: 'requests beyond that rate in a burst' }),
   },
   { additionalProperties: false },
 );
@@ -43,10 +46,14 @@
 const OrganisationSchema = Type.Object(
   {
     keyDigests: Type.Array(Type.String({ pattern: '^[\\w-]{43}$' }), {
-      description: 'digests of its keys, as cleatquay new-key prints them',
+      description: 'digests of its keys, as printed by cleatquay new-key',
     }),
     rank: Type.Optional(
-      Type.Integer({ minimum: 0, maximum: 15, description: 'goes before the class of routes; 0 first' }),
+      Type.Integer({
+        minimum: 0,
+        maximum: 15,
+        description: 'takes precedence over the class of the route; 0 is the highest priority',
+      }),
     ),
     quota: Type.Optional(QuotaSchema),
   },
@@ -58,16 +65,20 @@
   {
     $schema: Type.Optional(Type.String()),
     deployment: Type.String({ minLength: 1 }),
-    classes: Type.Array(Type.String(), { minItems: 1, maxItems: 16, description: 'most important first' }),
+    classes: Type.Array(Type.String(), {
+      minItems: 1,
+      maxItems: 16,
+      description: 'priority classes, highest first',
+    }),
     retryBudget: Type.Integer({
       minimum: 0,
       maximum: 16,
-      description: 'tries repeated per client request, in all',
+      description: 'maximum number of retries per client request, over all its calls',
     }),
     requestIdLifetimeMs: Type.Integer({ minimum: 10_000, default: 600_000 }),
     organisations: Type.Optional(
       Type.Record(Type.String({ pattern: '^[\\x21-\\x7e]{1,200}$' }), OrganisationSchema, {
-        description: 'who may send requests; left out where requests need no key',
+        description: 'organisations that may send requests; omit it if requests need no key',
       }),
     ),
     services: Type.Record(Type.String({ pattern: '^[A-Za-z][\\w-]*$' }), ServiceSchema),
@@ -75,7 +86,7 @@
   { additionalProperties: false, $id: 'https://cleatquay.example/schemas/operator-file.json' },
 );
 
-/** The whole configuration as operators write it. */
+/** The configuration as operators write it. */
 export type OperatorFile = Static<typeof OperatorFileSchema>;
 /** One service of the file. */
 export type ServiceDeclaration = Static<typeof ServiceSchema>;
--- a/packages/settings/src/processSettings.ts
+++ b/packages/settings/src/processSettings.ts
@@ -1,23 +1,23 @@
-/** The settings of one daemon. */
+/** Schema and loading of the settings of one daemon. */
 import { Failure } from '@cleatquay/errors';
 import { type Static, Type } from '@sinclair/typebox';
 import { readFileSync } from 'node:fs';
 import { check, parseJson } from './check.js';
 
-const Port = Type.Integer({ minimum: 0, maximum: 65_535, default: 0, description: '0 takes any free port' });
-const Address = Type.String({ pattern: '^[\\d.]{7,15}:\\d{1,5}$', description: 'IP number and port' });
+const Port = Type.Integer({ minimum: 0, maximum: 65_535, default: 0, description: '0 picks a free port' });
+const Address = Type.String({ pattern: '^[\\d.]{7,15}:\\d{1,5}$', description: 'IP address and port' });
 
 /** JSON Schema of a daemon's settings file. */
 export const ProcessSettingsSchema = Type.Object(
   {
     $schema: Type.Optional(Type.String()),
-    ip: Type.String({ format: undefined, pattern: '^[\\d.]{7,15}$', description: 'IP number of this VM' }),
+    ip: Type.String({ format: undefined, pattern: '^[\\d.]{7,15}$', description: 'IP address of this VM' }),
     failureDomain: Type.String({ minLength: 1 }),
     callerPort: Port,
     innerPort: Port,
     gossipPort: Port,
     operatorPort: Port,
-    seeds: Type.Array(Address, { default: [], description: 'gossip addresses of daemons to join by' }),
+    seeds: Type.Array(Address, { default: [], description: 'gossip addresses of daemons to join through' }),
     platform: Type.Optional(Type.String({ pattern: '^http://', description: 'URL of the platform' })),
     logLevel: Type.Union(
       ['trace', 'debug', 'info', 'warn', 'error', 'silent'].map(level => Type.Literal(level)),
@@ -26,37 +26,40 @@
     drainMs: Type.Integer({
       minimum: 0,
       default: 30_000,
-      description: 'longest wait for requests in flight',
+      description: 'maximum wait for requests in flight during a shutdown',
     }),
     revocationMs: Type.Optional(
       Type.Integer({
         minimum: 4000,
-        description: 'how long a key that was taken away may be honoured by any daemon, cut off or not',
+        description: 'how long any daemon, partitioned or not, may accept a key after its revocation',
       }),
     ),
     failureDomains: Type.Integer({
       minimum: 1,
       default: 1,
-      description: 'number of failure domains, which share quotas',
+      description: 'number of failure domains that share quotas',
     }),
     quotaSlack: Type.Integer({
       minimum: 0,
       default: 0,
-      description: 'requests of an organisation that may run beyond its quota in one moment',
+      description: 'requests of an organisation that may exceed its quota at any moment',
     }),
     protection: Type.Boolean({
       default: true,
-      description: 'false: the plain path, the baseline of experiments',
+      description: 'false: passthrough mode, the baseline of experiments',
+    }),
+    faultHooks: Type.Boolean({
+      default: false,
+      description: 'lets tests simulate network partitions between daemons',
     }),
-    faultHooks: Type.Boolean({ default: false, description: 'lets tests cut this daemon off from others' }),
   },
   { additionalProperties: false, $id: 'https://cleatquay.example/schemas/process-settings.json' },
 );
 
-/** Settings of one daemon, checked and with defaults. */
+/** Validated settings of one daemon, with defaults. */
 export type ProcessSettings = Static<typeof ProcessSettingsSchema>;
 
-/** Reads a settings file and lays `overrides` over it (flags over environment over file). */
+/** Reads a settings file, and overrides its values by `overrides` (flags over environment over file). */
 export function loadProcessSettings(
   file: string | undefined,
   overrides: Record<string, unknown>,
@@ -74,7 +77,7 @@
   }
 }
 
-/** The two halves of `ip:port`. */
+/** Splits `ip:port`. */
 export function splitAddress(address: string): { ip: string; port: number } {
   const colon = address.lastIndexOf(':');
   return { ip: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
