--- a/tests/configuration.spec.ts
+++ b/tests/configuration.spec.ts
@@ -32,8 +32,8 @@
     await standin[Symbol.asyncDispose]();
   });
 
-  describe('accepting', () => {
-    it('lets one of two operators win, and shows the other what is in force', async () => {
+  describe('apply', () => {
+    it('lets one of two operators win, and reports the active configuration to the other', async () => {
       await store.apply(withSlots(1));
       for (let round = 1; round <= ROUNDS; round++) {
         const results = await Promise.allSettled([
@@ -45,7 +45,7 @@
         expect(generation - 1).to.be.at.least(round);
         const slots = joinSections(sections).services.alarms!.slots;
         const last = won.map(w => w.value.applied).find(applied => applied.generation === generation);
-        expect(last, 'the generation in force is one that its operator was told of').to.not.equal(undefined);
+        expect(last, 'the active generation was reported to its operator').to.not.equal(undefined);
         expect([1000 + round, 5000 + round]).to.include(slots);
         for (const lost of results.filter(r => r.status === 'rejected')) {
           expect((lost.reason as Failure).result).to.equal('applyConflict');
@@ -54,7 +54,7 @@
       }
     });
 
-    it('tells the truth when the platform loses the answers to writes', async () => {
+    it('reports the true result when the platform loses responses to writes', async () => {
       standin.faults.loseAnswers = 0.4;
       let accepted = 0;
       for (let i = 1; i <= 15; i++) {
@@ -68,14 +68,14 @@
       expect(await store.generation()).to.equal(accepted);
     });
 
-    it('refuses an apply that was made for an older generation', async () => {
+    it('refuses an apply that is based on an older generation', async () => {
       await store.apply(withSlots(1));
       await store.apply(withSlots(2));
       const refused = await store.apply(withSlots(3), 1).catch((error: unknown) => error as Failure);
       expect(refused).to.have.property('result', 'applyConflict');
     });
 
-    it('keeps earlier generations to go back to', async () => {
+    it('keeps earlier generations for a rollback', async () => {
       await store.apply(withSlots(1));
       await store.apply(withSlots(2));
       const { sections } = await store.read(1);
@@ -84,7 +84,7 @@
   });
 
   describe('in a daemon', () => {
-    it('never goes back and always is one that was accepted, whatever peers send in whatever order', () => {
+    it('never decreases its generation and always has accepted content, in whatever order peers send', () => {
       const accepted = Array.from({ length: 8 }, (_, i) => {
         const file = withSlots(10 + i);
         if (i % 3 === 1) delete file.services.exports;
@@ -118,13 +118,13 @@
               };
               daemons[from]!.adopt(version, 'platform');
             }
-            const answer = daemons[from]!.answer(daemons[to]!.question());
-            late.push(() => daemons[to]!.adoptAnswer(answer, 'peer'));
+            const response = daemons[from]!.answer(daemons[to]!.question());
+            late.push(() => daemons[to]!.adoptAnswer(response, 'peer'));
             if (delay > 2) late.splice(0, delay).forEach(deliver => deliver());
           }
           for (const daemon of daemons.filter(d => d.generation > 0)) {
-            const expected = checked(accepted[daemon.generation - 1]!);
-            expect(checked(daemon.inForce!.file)).to.deep.equal(expected);
+            const expected = normalised(accepted[daemon.generation - 1]!);
+            expect(normalised(daemon.inForce!.file)).to.deep.equal(expected);
           }
         }),
         { numRuns: 200 },
@@ -133,8 +133,8 @@
   });
 });
 
-/** In an order that does not depend on the order of sections. */
-function checked(file: OperatorFile): unknown {
+/** Normalises the order, which depends on that of the sections. */
+function normalised(file: OperatorFile): unknown {
   const services = Object.fromEntries(Object.entries(file.services).sort(([a], [b]) => a.localeCompare(b)));
   return JSON.parse(JSON.stringify({ ...file, services }));
 }
--- a/tests/configurationContent.spec.ts
+++ b/tests/configurationContent.spec.ts
@@ -1,18 +1,16 @@
 /**
- * Callers were refused on routes that were there, and served on routes that had been dropped, by daemons whose configuration had the right
- * number and another content than others with that number.
+ * Guards against daemons with different content under one generation, which refuse requests on declared routes or serve removed ones:
  *
- * 1. A daemon missed a version in which a route had moved, and read the next one, which had it back: it had never seen the route change.
- * 2. A peer at the version in between asked it for what had changed since, and was not told of the route.
- * 3. The peer put the rest on top of what it had, under the number of the newest version. Nothing higher came, so that nothing mended it,
- *    and the next peer took it over. A daemon that had started after a route was dropped answered in the same way, without the drop.
+ * 1. A daemon missed a version in which a route had changed, and read the next one, which reverted it: it never saw the route change.
+ * 2. A peer at the version in between requested the changes since then, and its response lacked the route.
+ * 3. The peer applied the rest to its own content, under the newest generation. Without a higher generation nothing repaired it, and further
+ *    peers fetched it. The response of a daemon that had started after a route was removed lacked the removal in the same way.
  *
- * Cause: a difference was reckoned from the number of a version, and from when the answering daemon had seen a section change, while
- * the ways on which two daemons had come to that number differed.
- *
- * Evidence: on the code as it was, 297 of 2,000 such histories of 40 steps had a daemon whose content wasn't that of its number. On a played
- * day 13 daemons had one content under a number and one another, six changes where the others had seven: it had them from a daemon that
- * had started half a second before, and ran requests by the older version until it was started again, 13 s later.
+ * Cause: a difference was computed from the generation of the requesting daemon, and from when the responding one had seen a section change,
+ * although two daemons can reach a generation through different versions. With that code 297 of 2,000 such histories of 40 steps had a daemon
+ * whose content was not that of its generation. On a simulated day one daemon had other content than 13 daemons of the same generation, with
+ * six changes instead of seven: it had fetched them from a daemon that had started half a second before, and ran requests by the older
+ * version until its restart 13 s later.
  */
 import { ManualClock } from '@cleatquay/clock';
 import { Configuration, type Sections } from '@cleatquay/configuration';
@@ -21,9 +19,9 @@
 
 const DAEMONS = 4;
 const HISTORIES = 500;
-const MOST_STEPS = 40;
+const MAX_STEPS = 40;
 
-/** What happens to a fleet: the operator writes, a daemon reads, starts afresh, or takes from a peer what that is said to have. */
+/** One event: the operator writes a version; a daemon reads the newest, restarts, or fetches the version of a peer. */
 type Step =
   | { readonly kind: 'write'; readonly routes: readonly (string | undefined)[] }
   | { readonly kind: 'read'; readonly at: number }
@@ -39,8 +37,8 @@
   { weight: 3, arbitrary: fc.record({ kind: fc.constant('take' as const), at: daemon, from: daemon }) },
 );
 
-/** A route that moves and comes back, while daemon 0 misses the version between. */
-const BACK_AGAIN: Step[] = [
+/** A route that changes and is reverted, while daemon 0 misses the version in between. */
+const REVERTED_ROUTE: Step[] = [
   { kind: 'write', routes: ['history', 'history', undefined] },
   { kind: 'read', at: 0 },
   { kind: 'read', at: 1 },
@@ -50,8 +48,8 @@
   { kind: 'read', at: 0 },
   { kind: 'take', at: 1, from: 0 },
 ];
-/** A route that is dropped before daemon 0 starts afresh. */
-const DROPPED_BEFORE: Step[] = [
+/** A route that is removed before daemon 0 restarts. */
+const REMOVED_ROUTE: Step[] = [
   { kind: 'write', routes: ['history', 'alarms', undefined] },
   { kind: 'read', at: 0 },
   { kind: 'read', at: 1 },
@@ -62,62 +60,62 @@
 ];
 
 describe('the content of a configuration', () => {
-  it('is that of its generation at every daemon, whichever versions each has missed, and wherever it takes them from', () => {
+  it('is that of its generation at every daemon, whichever versions it missed and wherever it fetched them', () => {
     fc.assert(
-      fc.property(fc.array(step, { maxLength: MOST_STEPS }), steps => expectTrueContent(steps)),
-      { numRuns: HISTORIES, examples: [[BACK_AGAIN], [DROPPED_BEFORE]] },
+      fc.property(fc.array(step, { maxLength: MAX_STEPS }), steps => expectTrueContent(steps)),
+      { numRuns: HISTORIES, examples: [[REVERTED_ROUTE], [REMOVED_ROUTE]] },
     );
   });
 
-  describe('that a peer tells', () => {
-    let asking: Configuration<Sections>;
-    let asked: Configuration<Sections>;
+  describe('in the response of a peer', () => {
+    let requester: Configuration<Sections>;
+    let responder: Configuration<Sections>;
 
     beforeEach(() => {
-      asking = newDaemon();
-      asked = newDaemon();
-      for (const each of [asking, asked]) read(each, 1, ['history', 'history']);
+      requester = newDaemon();
+      responder = newDaemon();
+      for (const each of [requester, responder]) read(each, 1, ['history', 'history']);
     });
 
-    it('is what has changed, where both have had the same', () => {
-      read(asked, 2, ['history', 'alarms']);
-      const { sections } = asked.answer(asking.question());
+    it('is the difference if both have had the same content', () => {
+      read(responder, 2, ['history', 'alarms']);
+      const { sections } = responder.answer(requester.question());
       expect(sections).to.deep.equal([{ name: 'route:1', content: 'alarms' }]);
     });
 
-    it('is the whole, where the peer has never had what the asking daemon has', () => {
-      read(asking, 2, ['alarms', 'alarms']);
-      read(asked, 3, ['history', 'alarms']);
-      const answer = asked.answer(asking.question());
-      expect(answer.sections).to.have.length(3);
-      expect(asking.adoptAnswer(answer, 'peer')).to.equal(true);
-      expect(asking.digest).to.equal(asked.digest);
+    it('is the full content if the peer has never had that of the requesting daemon', () => {
+      read(requester, 2, ['alarms', 'alarms']);
+      read(responder, 3, ['history', 'alarms']);
+      const response = responder.answer(requester.question());
+      expect(response.sections).to.have.length(3);
+      expect(requester.adoptAnswer(response, 'peer')).to.equal(true);
+      expect(requester.digest).to.equal(responder.digest);
     });
 
-    it('is refused when it does not lead to what it was told to lead to', () => {
-      read(asked, 2, ['history', 'alarms']);
-      const answer = { ...asked.answer(asking.question()), sections: [] };
-      expect(() => asking.adoptAnswer(answer, 'peer')).to.throw('Generation 2 of peer');
-      expect(asking.generation).to.equal(1);
+    it('is rejected if the result does not have the digest of the response', () => {
+      read(responder, 2, ['history', 'alarms']);
+      const response = { ...responder.answer(requester.question()), sections: [] };
+      expect(() => requester.adoptAnswer(response, 'peer')).to.throw('Generation 2 of peer');
+      expect(requester.generation).to.equal(1);
     });
 
-    it('is left alone when the asking daemon has another one by then', () => {
-      read(asked, 3, ['history', 'alarms']);
-      const answer = asked.answer(asking.question());
-      read(asking, 2, ['alarms', 'alarms']);
-      expect(asking.adoptAnswer(answer, 'peer')).to.equal(false);
+    it('is ignored if the requesting daemon has other content by then', () => {
+      read(responder, 3, ['history', 'alarms']);
+      const response = responder.answer(requester.question());
+      read(requester, 2, ['alarms', 'alarms']);
+      expect(requester.adoptAnswer(response, 'peer')).to.equal(false);
     });
 
-    it('has the same digest in whatever order its sections came', () => {
+    it('has the same digest for each order of its sections', () => {
       const reversed = new Map([...sectionsOf(['history', 'history'])].reverse());
       const other = newDaemon();
       other.adoptWhole(1, reversed, 'platform');
-      expect(other.digest).to.equal(asked.digest);
+      expect(other.digest).to.equal(responder.digest);
     });
   });
 
-  describe('of one generation that differs', () => {
-    it('is that of the platform, whoever had which first', () => {
+  describe('that differs within one generation', () => {
+    it('is replaced by that of the platform', () => {
       const daemon = newDaemon();
       read(daemon, 1, ['history']);
       expect(read(daemon, 1, ['alarms'])).to.equal(true);
@@ -125,7 +123,7 @@
       expect(read(daemon, 1, ['alarms'])).to.equal(false);
     });
 
-    it('is not taken from a peer', () => {
+    it('is not adopted from a peer', () => {
       const daemon = newDaemon();
       read(daemon, 1, ['history']);
       expect(daemon.adoptWhole(1, sectionsOf(['alarms']), 'peer')).to.equal(false);
@@ -133,7 +131,7 @@
   });
 });
 
-/** Puts what the platform has in force. */
+/** Adopts a version as read from the platform. */
 function read(
   daemon: Configuration<Sections>,
   generation: number,
@@ -165,8 +163,8 @@
       daemons[taken.at] = newDaemon();
       break;
     case 'take': {
-      const [asking, asked] = [daemons[taken.at]!, daemons[taken.from]!];
-      asking.adoptAnswer(asked.answer(asking.question()), 'peer');
+      const [requester, responder] = [daemons[taken.at]!, daemons[taken.from]!];
+      requester.adoptAnswer(responder.answer(requester.question()), 'peer');
     }
   }
 }
--- a/tests/configurationSoak.spec.ts
+++ b/tests/configurationSoak.spec.ts
@@ -1,7 +1,6 @@
 /**
- * Daemons as processes while the operator writes in series and some of them are stopped and continued, killed and started again, rejected by the
- * store, or left with connections that fell silent, at random and several at once. `CLEATQUAY_SEED` tries another run,
- * `CLEATQUAY_ROUNDS` a longer one.
+ * Daemons as processes, while the operator writes versions in bursts and random faults hit several daemons at once: suspension, a kill and
+ * restart, rejection by the store, or unresponsive connections. `CLEATQUAY_SEED` selects another sequence, `CLEATQUAY_ROUNDS` its length.
  */
 import { type Random, seededRandom } from '@cleatquay/clock';
 import { digestOf } from '@cleatquay/configuration';
@@ -13,13 +12,13 @@
 
 const ROUNDS = Number(process.env.CLEATQUAY_ROUNDS ?? 15);
 const SEED = process.env.CLEATQUAY_SEED ?? '1';
-/** A round takes about a second, and at most 3 s more for what was written to be in force. */
-const ROUND_LIMIT_MS = 10_000;
-/** After the end of a fault a daemon counts as harmed for 3 s; by then it has to have what was written. */
-const IN_FORCE_MS = 3000;
-const MOST_WRITES = 4;
-const MOST_GAP_MS = 400;
-const MOST_FAULTS = 3;
+/** A round takes about a second, and at most 3 s more until the written version is active. */
+const ROUND_TIMEOUT_MS = 10_000;
+/** Within 3 s after the end of a fault a daemon has to have the newest version. */
+const MAX_RECOVERY_MS = 3000;
+const MAX_WRITES = 4;
+const MAX_GAP_MS = 400;
+const MAX_FAULTS = 3;
 
 const DOMAINS = ['z1', 'z1', 'z1', 'z2', 'z2', 'z2'];
 const VMS: ProcessVm[] = DOMAINS.map((failureDomain, i) => ({
@@ -28,11 +27,11 @@
 }));
 const HOSTS = ['a', 'b', 'c'].map(name => `${name}.example`);
 
-describe('configurations among faults, on daemons as processes', () => {
+describe('configurations during faults, on daemons as processes', () => {
   let fleet: ProcessFleet;
   let random: Random;
   let version: number;
-  /** Digest of the content of each version that was written. */
+  /** Digest of the content of each written version. */
   let written: Map<number, string>;
 
   before(() => ProcessFleet.build());
@@ -48,7 +47,7 @@
 
   const below = (count: number) => Math.floor(random() * count);
   const one = <T>(list: readonly T[]): T => list[below(list.length)]!;
-  const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
+  const delay = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
   const write = () => {
     const routes = HOSTS.flatMap((host): WrittenRoute[] =>
@@ -59,7 +58,7 @@
     fleet.store.put('op', 'config', text);
   };
 
-  /** Whether a daemon has the newest version; at no time may it have another content than that of its generation. */
+  /** Whether a daemon has the newest version; its content must be that of its generation at any time. */
   const hasNewest = (status: ProcessStatus | undefined) => {
     const digest = status && written.get(status.generation);
     if (digest !== undefined) expect(status?.digest, `of ${String(status?.generation)}`).to.equal(digest);
@@ -67,28 +66,28 @@
   };
 
   const round = async (): Promise<string> => {
-    const struck = Array.from({ length: 1 + below(MOST_FAULTS) }, () => ({
+    const injected = Array.from({ length: 1 + below(MAX_FAULTS) }, () => ({
       name: one(Object.keys(FAULTS)),
       node: below(VMS.length),
     })).filter(({ node }, i, all) => all.findIndex(other => other.node === node) === i);
-    const ends = struck.map(({ name, node }) => FAULTS[name]!(fleet.nodes[node]!));
-    for (let left = 1 + below(MOST_WRITES); left > 0; left--) {
-      await pause(below(MOST_GAP_MS));
+    const ends = injected.map(({ name, node }) => FAULTS[name]!(fleet.nodes[node]!));
+    for (let left = 1 + below(MAX_WRITES); left > 0; left--) {
+      await delay(below(MAX_GAP_MS));
       write();
     }
-    await pause(below(MOST_GAP_MS));
+    await delay(below(MAX_GAP_MS));
     await Promise.all(ends.map(end => end()));
-    return struck.map(({ name, node }) => `${String(node)} ${name}`).join(', ');
+    return injected.map(({ name, node }) => `${String(node)} ${name}`).join(', ');
   };
 
-  it('have the content of their generation at every daemon, and are in force in time', async function () {
-    this.timeout(ROUNDS * ROUND_LIMIT_MS);
+  it('have the content of their generation at every daemon, and are active in time', async function () {
+    this.timeout(ROUNDS * ROUND_TIMEOUT_MS);
     for (let done = 1; done <= ROUNDS; done++) {
       const faults = await round();
       const start = performance.now();
       await fleet.until(node => node.status(), hasNewest);
       const tookMs = performance.now() - start;
-      expect(tookMs, `round ${String(done)} of seed ${SEED}: ${faults}`).to.be.below(IN_FORCE_MS);
+      expect(tookMs, `round ${String(done)} of seed ${SEED}: ${faults}`).to.be.below(MAX_RECOVERY_MS);
     }
   });
 });
--- a/tests/configurationSpread.spec.ts
+++ b/tests/configurationSpread.spec.ts
@@ -9,17 +9,17 @@
 const OTHERS = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
 const STEP_MS = 10;
 
-type Peer = (question: ConfigurationRequest) => Promise<ConfigurationAnswer>;
+type Peer = (request: ConfigurationRequest) => Promise<ConfigurationAnswer>;
 
 describe('a version that few peers have', () => {
   let clock: ManualClock;
   let configuration: Configuration<Sections>;
   let peers: Map<string, Peer>;
   let asked: string[];
-  let doubts: string[];
-  let spread: ConfigurationSpread;
+  let mismatches: string[];
+  let distribution: ConfigurationSpread;
 
-  const having = (generation: number, sections: Sections) => {
+  const configurationOf = (generation: number, sections: Sections) => {
     const daemon = new Configuration<Sections>(
       clock,
       s => s,
@@ -28,18 +28,18 @@
     daemon.adoptWhole(generation, sections, 'platform');
     return daemon;
   };
-  const told = (daemon: Configuration<Sections>): Peer => {
-    return question => Promise.resolve(daemon.answer(question));
+  const peerOf = (daemon: Configuration<Sections>): Peer => {
+    return request => Promise.resolve(daemon.answer(request));
   };
-  const newest = () => having(2, NEW);
+  const newest = () => configurationOf(2, NEW);
 
   beforeEach(() => {
     clock = new ManualClock();
-    configuration = having(1, OLD);
+    configuration = configurationOf(1, OLD);
     asked = [];
-    doubts = [];
-    peers = new Map(OTHERS.map(name => [name, told(having(1, OLD))]));
-    spread = new ConfigurationSpread({
+    mismatches = [];
+    peers = new Map(OTHERS.map(name => [name, peerOf(configurationOf(1, OLD))]));
+    distribution = new ConfigurationSpread({
       clock,
       random: () => 0.5,
       configuration,
@@ -47,77 +47,77 @@
       freshness: new Freshness(clock, configuration),
       isReader: () => false,
       onReach: () => undefined,
-      fetch: (peer, question) => {
+      fetch: (peer, request) => {
         asked.push(peer);
-        return peers.get(peer)!(question);
+        return peers.get(peer)!(request);
       },
-      // Those that are near are asked first, though they did not say that they have it.
+      // Peers in the same failure domain are asked first, although they have not announced it.
       inOrder: holders => ['a', 'b', ...holders],
       patienceMs: () => 0,
-      onDoubt: peer => doubts.push(peer),
+      onDoubt: peer => mismatches.push(peer),
       onPeerFailure: () => undefined,
     });
   });
 
-  afterEach(() => spread[Symbol.asyncDispose]());
+  afterEach(() => distribution[Symbol.asyncDispose]());
 
-  const pass = async (ms: number) => {
+  const advance = async (ms: number) => {
     for (let left = ms; left > 0; left -= STEP_MS) {
       clock.advance(STEP_MS);
       await new Promise(resolve => setImmediate(resolve));
     }
   };
-  const hear = (peer: string, daemon = newest()) => spread.heard(daemon, peer);
+  const announce = (peer: string, daemon = newest()) => distribution.heard(daemon, peer);
 
-  it('is asked for where it is, and not at random', async () => {
-    peers.set(HOLDER, told(newest()));
-    hear(HOLDER);
-    await pass(100);
+  it('is fetched from the peer that has announced it, and not from random peers', async () => {
+    peers.set(HOLDER, peerOf(newest()));
+    announce(HOLDER);
+    await advance(100);
     expect(configuration.inForce).to.deep.equal(NEW);
     expect(asked).to.deep.equal(['a', 'b', HOLDER]);
   });
 
-  it('is asked for at the next one when a peer does not answer for a quarter of a second', async () => {
-    peers.set('silent', () => new Promise(() => undefined));
-    peers.set(HOLDER, told(newest()));
-    hear('silent');
-    hear(HOLDER);
-    await pass(400);
+  it('is fetched from the next peer if one does not respond within a quarter of a second', async () => {
+    peers.set('unresponsive', () => new Promise(() => undefined));
+    peers.set(HOLDER, peerOf(newest()));
+    announce('unresponsive');
+    announce(HOLDER);
+    await advance(400);
     expect(configuration.inForce).to.deep.equal(NEW);
   });
 
-  it('is asked for once more when its holder could not be reached, as soon as that is heard again', async () => {
-    peers.set(HOLDER, () => Promise.reject(new Error('away')));
-    hear(HOLDER);
-    await pass(1000);
+  it('is fetched again from a peer that was unreachable, as soon as that announces it again', async () => {
+    peers.set(HOLDER, () => Promise.reject(new Error('unreachable')));
+    announce(HOLDER);
+    await advance(1000);
     const before = asked.length;
-    await pass(5000);
-    expect(asked, 'who is not heard is not asked').to.have.length(before);
-    peers.set(HOLDER, told(newest()));
-    hear(HOLDER);
-    await pass(400);
+    await advance(5000);
+    expect(asked, 'a peer that announces nothing is not asked').to.have.length(before);
+    peers.set(HOLDER, peerOf(newest()));
+    announce(HOLDER);
+    await advance(400);
     expect(configuration.inForce).to.deep.equal(NEW);
   });
 
-  describe('under the number of another content', () => {
-    const other = () => having(2, OLD);
+  describe('with other content under the same generation', () => {
+    const other = () => configurationOf(2, OLD);
 
     beforeEach(() => {
       configuration.adoptAnswer(newest().answer(configuration.question()), HOLDER);
     });
 
-    it('raises a doubt, once', () => {
-      hear('a', newest());
-      expect(doubts).to.deep.equal([]);
-      hear('a', other());
-      hear('b', other());
-      expect(doubts).to.deep.equal(['a']);
+    it('is reported as a digest mismatch, once', () => {
+      announce('a', newest());
+      expect(mismatches).to.deep.equal([]);
+      announce('a', other());
+      announce('b', other());
+      expect(mismatches).to.deep.equal(['a']);
     });
 
-    it('raises none where the platform has told which is right', () => {
+    it('is not reported if the platform has confirmed the active content', () => {
       configuration.adoptWhole(2, NEW, 'platform');
-      hear('a', other());
-      expect(doubts).to.deep.equal([]);
+      announce('a', other());
+      expect(mismatches).to.deep.equal([]);
     });
   });
 });
--- a/tests/configurationWatch.spec.ts
+++ b/tests/configurationWatch.spec.ts
@@ -4,11 +4,11 @@
 
 const VERSION: SourcedVersion = { generation: 1, sections: new Map([['general', '{}']]) };
 
-describe('following the source of configurations', () => {
+describe('watching the source of configurations', () => {
   let clock: ManualClock;
   let isOnDuty: boolean;
-  let asked: number;
-  let answer: () => Promise<SourcedVersion | undefined>;
+  let calls: number;
+  let respond: () => Promise<SourcedVersion | undefined>;
   let watch: ConfigurationWatch;
   let configuration: Configuration<unknown>;
   let reached: boolean[];
@@ -16,14 +16,14 @@
   beforeEach(() => {
     clock = new ManualClock();
     isOnDuty = false;
-    asked = 0;
+    calls = 0;
     reached = [];
-    answer = () => Promise.resolve(VERSION);
-    const ask = async () => {
-      asked++;
-      // As a source that has nothing new for a while.
+    respond = () => Promise.resolve(VERSION);
+    const call = async () => {
+      calls++;
+      // Like a source that has nothing new for some time.
       await clock.sleep(1000);
-      return answer();
+      return respond();
     };
     configuration = new Configuration(
       clock,
@@ -34,7 +34,7 @@
       clock,
       configuration,
       freshness: new Freshness(clock, configuration),
-      source: { read: ask, next: ask },
+      source: { read: call, next: call },
       isOnDuty: () => isOnDuty,
       waitMs: () => 1000,
       paceMs: () => undefined,
@@ -45,68 +45,68 @@
     watch.start();
   });
 
-  const pass = async (ms: number) => {
+  const advance = async (ms: number) => {
     for (let left = ms; left > 0; left -= 100) {
       clock.advance(100);
       await new Promise(resolve => setImmediate(resolve));
     }
   };
 
-  it('is begun by every daemon, until it has a version', async () => {
-    answer = () => Promise.reject(new Error('away'));
-    await pass(10_000);
-    expect(asked).to.be.at.least(4);
-    answer = () => Promise.resolve(VERSION);
-    await pass(5000);
-    const before = asked;
-    await pass(10_000);
-    expect(asked).to.equal(before);
+  it('is done by every daemon until it has a version', async () => {
+    respond = () => Promise.reject(new Error('unreachable'));
+    await advance(10_000);
+    expect(calls).to.be.at.least(4);
+    respond = () => Promise.resolve(VERSION);
+    await advance(5000);
+    const before = calls;
+    await advance(10_000);
+    expect(calls).to.equal(before);
   });
 
-  it('is left to others by those that are not on duty, but for a look each minute', async () => {
-    await pass(5000);
-    expect(asked).to.equal(1);
-    await pass(120_000);
-    expect(asked).to.be.within(2, 3);
+  it('is left to the platform readers by other daemons, except for a read each minute', async () => {
+    await advance(5000);
+    expect(calls).to.equal(1);
+    await advance(120_000);
+    expect(calls).to.be.within(2, 3);
   });
 
-  it('is read when a peer has another content under the same number, until it has told which is right', async () => {
-    const taken = new Map([['general', '{"of":"a peer"}']]);
-    configuration.adoptWhole(2, taken, 'peer');
-    await pass(2000);
-    const before = asked;
+  it('reads it after a digest mismatch, until it has confirmed the generation', async () => {
+    const peerSections = new Map([['general', '{"of":"a peer"}']]);
+    configuration.adoptWhole(2, peerSections, 'peer');
+    await advance(2000);
+    const before = calls;
     watch.doubt();
-    await pass(3000);
-    expect(asked, 'an older version tells nothing').to.be.above(before + 1);
-    answer = () => Promise.resolve({ ...VERSION, generation: 2 });
-    await pass(3000);
+    await advance(3000);
+    expect(calls, 'an older version confirms nothing').to.be.above(before + 1);
+    respond = () => Promise.resolve({ ...VERSION, generation: 2 });
+    await advance(3000);
     expect(configuration.inForce).to.deep.equal(VERSION.sections);
-    const told = asked;
-    await pass(10_000);
-    expect(asked).to.equal(told);
+    const confirmed = calls;
+    await advance(10_000);
+    expect(calls).to.equal(confirmed);
   });
 
-  it('is told of as out of reach after a read, and as within reach again when a look finds it back', async () => {
-    await pass(5000);
+  it('reports it as unreachable after a failed read, and as reachable after a later read succeeds', async () => {
+    await advance(5000);
     isOnDuty = true;
-    await pass(2000);
-    answer = () => Promise.reject(new Error('away'));
+    await advance(2000);
+    respond = () => Promise.reject(new Error('unreachable'));
     reached = [];
-    await pass(1000);
-    expect(reached, 'a wait that fails tells nothing').to.deep.equal([]);
-    await pass(1000);
+    await advance(1000);
+    expect(reached, 'a failed wait is not reported').to.deep.equal([]);
+    await advance(1000);
     expect(reached).to.deep.equal([false]);
-    // Others read for it from now on.
+    // Other daemons are platform readers from now on.
     isOnDuty = false;
-    answer = () => Promise.resolve(undefined);
-    await pass(8000);
+    respond = () => Promise.resolve(undefined);
+    await advance(8000);
     expect(reached).to.deep.equal([false, true]);
   });
 
-  it('begins within half a second of being on duty', async () => {
-    await pass(5000);
+  it('begins within half a second after the daemon becomes a platform reader', async () => {
+    await advance(5000);
     isOnDuty = true;
-    await pass(600);
-    expect(asked).to.equal(2);
+    await advance(600);
+    expect(calls).to.equal(2);
   });
 });
--- a/tests/foreignWriters.spec.ts
+++ b/tests/foreignWriters.spec.ts
@@ -7,8 +7,8 @@
 const ROUNDS = 60;
 const RUNS = { numRuns: ROUNDS };
 
-/** Announcements that name no upstream to use: fields missing, of another type, or with words that nobody agreed on. */
-const foreignAnnouncement = fc
+/** Announcements without a usable upstream: with missing fields, other types or unknown values. */
+const invalidAnnouncement = fc
   .record(
     {
       service: fc.oneof(fc.constant('history'), fc.string(), fc.integer()),
@@ -26,7 +26,7 @@
   .map(body => JSON.stringify(body));
 const bytes = fc.uint8Array({ maxLength: 300 }).map(array => Buffer.from(array));
 
-describe('what another writer says', () => {
+describe('invalid input of other writers', () => {
   let fleet: PlatformFleet;
 
   beforeEach(async () => {
@@ -38,51 +38,51 @@
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
-  const post = async (id: string, what: string, body: string | Buffer) => {
+  const post = async (id: string, action: string, body: string | Buffer) => {
     const announcements = fleet.nodes[0]!.daemon.addresses.get('announcements')!;
-    const url = `http://${announcements}/cleatquay/instances/${id}/${what}`;
-    const answer = await fetch(url, { method: 'POST', body });
-    await answer.arrayBuffer();
-    return answer.status;
+    const url = `http://${announcements}/cleatquay/instances/${id}/${action}`;
+    const response = await fetch(url, { method: 'POST', body });
+    await response.arrayBuffer();
+    return response.status;
   };
-  const known = () => fleet.nodes[0]!.daemon.upstreams.known.map(({ instanceId }) => instanceId);
+  const registered = () => fleet.nodes[0]!.daemon.upstreams.known.map(({ instanceId }) => instanceId);
   const expectServed = async () => expect((await fleet.ask(1)).status).to.equal(200);
 
   describe('in an announcement', () => {
-    it('names no upstream, whatever it is', async () => {
+    it('registers no upstream', async () => {
       await fc.assert(
-        fc.asyncProperty(fc.oneof(foreignAnnouncement, bytes), async body => {
+        fc.asyncProperty(fc.oneof(invalidAnnouncement, bytes), async body => {
           expect(await post('i-0', 'heartbeat', body)).to.be.within(400, 499);
-          expect(known()).to.deep.equal(['i-0']);
+          expect(registered()).to.deep.equal(['i-0']);
         }),
         RUNS,
       );
       await expectServed();
     });
 
-    it('does not take the address of an upstream for a service that the configuration does not have', async () => {
+    it('does not register a service without configuration at the address of another upstream', async () => {
       const { address } = fleet.nodes[0]!.daemon.upstreams.known[0]!;
       const body = { service: 'unheard-of', address, slots: 4, state: 'ready', sequence: 1 };
       expect(await post('i-9', 'heartbeat', JSON.stringify(body))).to.be.within(400, 499);
-      expect(known()).to.deep.equal(['i-0']);
+      expect(registered()).to.deep.equal(['i-0']);
       await expectServed();
     });
 
-    it('has an id that can not be read', async () => {
+    it('is rejected if the id can not be decoded', async () => {
       expect(await post('%E0%A4%A', 'heartbeat', '{}')).to.be.within(400, 499);
     });
   });
 
   describe('in a row', () => {
-    const foreignValue = fc.oneof(
+    const invalidRow = fc.oneof(
       fc.json(),
       fc.string(),
       fc.record({ gossipAddress: fc.string() }).map(value => JSON.stringify(value)),
       fc.constantFrom('{"gossipAddress":"127.0.0.1:99999"}', '{"gossipAddress":"nowhere"}'),
     );
 
-    it('keeps no daemon from meeting the others', async () => {
-      fc.sample(foreignValue, ROUNDS).forEach((text, i) =>
+    it('prevents no daemon from discovering the others', async () => {
+      fc.sample(invalidRow, ROUNDS).forEach((text, i) =>
         fleet.store.put('daemons', `000-${String(i)}`, text),
       );
       fleet.store.put('daemons', '127.0.0.1:70000', '{"gossipAddress":"127.0.0.1:70000"}');
@@ -91,7 +91,7 @@
       await expectServed();
     });
 
-    it('that took the place of a daemon is replaced by its own when it starts again', async () => {
+    it('that replaced the row of a daemon is overwritten when the daemon restarts', async () => {
       const [node] = fleet.nodes;
       const { address } = node!.daemon.membership.me;
       fleet.store.put('daemons', address, '{"gossipAddress":17}');
@@ -102,7 +102,7 @@
   });
 
   describe('in a datagram', () => {
-    it('ends no daemon, though its sender can not be answered', async () => {
+    it('crashes no daemon if there is no response to its sender', async () => {
       const socket = createSocket('udp4');
       const [ip, port] = fleet.nodes[0]!.daemon.membership.me.gossipAddress.split(':');
       for (const from of ['nowhere', '127.0.0.1:99999', '']) {
--- a/tests/meeting.spec.ts
+++ b/tests/meeting.spec.ts
@@ -3,10 +3,10 @@
 import { expect } from 'chai';
 
 const SELF = '127.0.0.1:1';
-const LEFT = { instanceId: 'left', born: 0 };
-const FORMER: MeetingRow = { address: SELF, gossipAddress: SELF, departures: [LEFT], upstreams: [] };
+const DEPARTURE = { instanceId: 'left', born: 0 };
+const RECORDED: MeetingRow = { address: SELF, gossipAddress: SELF, departures: [DEPARTURE], upstreams: [] };
 
-/** As much of a membership as a meeting asks of one that knows nobody. */
+/** The part of a membership that peer discovery uses, without any other member. */
 const membership = {
   me: { address: SELF, gossipAddress: SELF },
   meet: () => undefined,
@@ -14,24 +14,24 @@
   table: new Map(),
 } as unknown as Membership;
 
-describe('the row of a daemon', () => {
+describe('the row of a daemon in the discovery table', () => {
   let rows: MeetingRow[];
-  let kept: KeptState;
-  let letRead: () => void;
-  let meeting: Meeting;
+  let persisted: KeptState;
+  let allowRead: () => void;
+  let discovery: Meeting;
 
   beforeEach(() => {
-    rows = [FORMER];
-    kept = { departures: [], upstreams: [] };
-    const mayRead = new Promise<void>(resolve => (letRead = resolve));
-    meeting = new Meeting({
+    rows = [RECORDED];
+    persisted = { departures: [], upstreams: [] };
+    const isReadable = new Promise<void>(resolve => (allowRead = resolve));
+    discovery = new Meeting({
       clock: new ManualClock(),
       random: () => 0.5,
       membership,
       isTender: () => false,
       table: {
         create: async row => {
-          await mayRead;
+          await isReadable;
           const former = rows.find(({ address }) => address === row.address);
           if (former) return { isDone: false, version: 1, former };
           rows = [row];
@@ -44,27 +44,27 @@
         },
         remove: () => Promise.resolve(),
       },
-      kept: () => kept,
-      onFormer: former => (kept = former),
+      kept: () => persisted,
+      onFormer: recorded => (persisted = recorded),
       log: () => undefined,
     });
   });
 
-  afterEach(() => meeting[Symbol.asyncDispose]());
+  afterEach(() => discovery[Symbol.asyncDispose]());
 
-  it('keeps what an earlier process recorded, though something is recorded before it was read', async () => {
-    meeting.start();
-    await meeting.record();
-    expect(rows).to.deep.equal([FORMER]);
-    letRead();
-    await meeting.met;
-    expect(rows[0]?.departures).to.deep.equal([LEFT]);
+  it('keeps what an earlier process recorded, even if a change is recorded before the row was read', async () => {
+    discovery.start();
+    await discovery.record();
+    expect(rows).to.deep.equal([RECORDED]);
+    allowRead();
+    await discovery.met;
+    expect(rows[0]?.departures).to.deep.equal([DEPARTURE]);
   });
 
-  it('is looked after no more once that is over, also in the middle of a round', async () => {
-    meeting.start();
-    const ended = meeting[Symbol.asyncDispose]();
-    letRead();
-    await ended;
+  it('is no longer maintained after a stop in the middle of a round', async () => {
+    discovery.start();
+    const stopped = discovery[Symbol.asyncDispose]();
+    allowRead();
+    await stopped;
   });
 });
--- a/tests/membership.spec.ts
+++ b/tests/membership.spec.ts
@@ -15,13 +15,13 @@
 }
 
 describe('membership', () => {
-  it('lets everybody know everybody, by two seeds', async () => {
+  it('gives each member the full list through two seeds', async () => {
     await using network = await joined('join');
     for (const address of network.addresses)
       expect(network.countSeen(address, ['ALIVE'])).to.equal(COUNT - 1);
   });
 
-  it('finds a killed member out, and accuses nobody else, while one datagram in ten is lost', async () => {
+  it('declares only a killed member dead while one datagram in ten is lost', async () => {
     await using network = await joined('kill');
     network.path = () => (network.random() < 0.1 ? 'lose' : 'deliver');
     const victim = network.addresses[7]!;
@@ -31,7 +31,7 @@
     for (const address of network.addresses) expect(network.countSeen(address, ['DEAD'])).to.equal(0);
   });
 
-  it('takes a member that left out at once', async () => {
+  it('marks a member that leaves at once', async () => {
     await using network = await joined('leave');
     const leaving = network.addresses[9]!;
     network.get(leaving).leave();
@@ -39,7 +39,7 @@
     expect(network.countSeen(leaving, ['LEFT'])).to.equal(COUNT - 1);
   });
 
-  it('tells everybody of a drain within two seconds', async () => {
+  it('broadcasts a drain to all members within two seconds', async () => {
     await using network = await joined('drain');
     const draining = network.addresses[3]!;
     const upstream = { service: 's', address: draining, slots: 1, connections: 1, draining: true };
@@ -49,21 +49,21 @@
     expect(views).to.deep.equal(Array(COUNT).fill(true));
   });
 
-  it('misses nobody with that in twenty fleets', async () => {
+  it('misses no member with that in twenty fleets', async () => {
     for (let i = 0; i < 20; i++) {
       await using network = await joined(`drain-${String(i)}`);
       const draining = network.addresses[3]!;
       const upstream = { service: 's', address: draining, slots: 1, connections: 1, draining: true };
       network.get(draining).setUpstreams([upstream]);
       await network.pass(2000);
-      const heard = network.addresses.filter(
+      const informed = network.addresses.filter(
         a => network.get(a).table.get(draining)?.upstreams[0]?.draining === true,
       );
-      expect(heard).to.have.lengthOf(COUNT);
+      expect(informed).to.have.lengthOf(COUNT);
     }
   });
 
-  it('takes a replaced VM at the same address for a new one', async () => {
+  it('recognises a replaced VM at the same address as a new process', async () => {
     await using network = await joined('replace');
     const address = network.addresses[5]!;
     const old = network.get(address).me.epoch;
@@ -75,7 +75,7 @@
     expect(Math.min(...epochs)).to.be.greaterThan(old);
   });
 
-  it('heals after minutes of partition, also when one side was replaced meanwhile', async function () {
+  it('recovers after minutes of a network partition, even if one side was replaced meanwhile', async function () {
     this.timeout(120_000);
     await using network = await joined('heal', 12);
     const isLeft = (address: string) => address < addresses(12)[6]!;
@@ -92,18 +92,18 @@
       expect(network.countSeen(address, ['ALIVE']), address).to.equal(11);
   });
 
-  it('spreads a generation to everybody within two seconds', async () => {
+  it('broadcasts a generation to all members within two seconds', async () => {
     await using network = await joined('spread');
     network.get(FIRST).setConfiguration({ generation: 7, shortDigest: 1 });
     await network.pass(2000);
-    const heard = network.addresses.filter(a => a !== FIRST).map(a => network.generationsHeard.get(a));
-    expect(heard).to.deep.equal(Array(COUNT - 1).fill(7));
+    const informed = network.addresses.filter(a => a !== FIRST).map(a => network.generationsHeard.get(a));
+    expect(informed).to.deep.equal(Array(COUNT - 1).fill(7));
   });
 
-  describe('of two hundred that start within a third of a second, and know of those before them by a table', () => {
+  describe('of two hundred daemons that start within a third of a second, and discover those before them in a table', () => {
     const SIZE = 200;
 
-    it('knows everybody within two seconds, for a few hundred bytes a pair', async () => {
+    it('is complete within two seconds, for a few hundred bytes per pair', async () => {
       await using network = new SimulatedNetwork('many');
       for (const [i, address] of addresses(SIZE).entries()) {
         network.start(address, []).meet(addresses(i));
@@ -113,12 +113,12 @@
       const known = network.addresses.map(address => network.get(address).aliveCount());
       expect(Math.min(...known)).to.be.at.least(SIZE - 3);
       const sent = network.addresses.reduce((sum, a) => sum + network.get(a).traffic.sentBytes, 0);
-      // 225 MB when each met all others, 14 with three.
+      // 225 MB if each joins all others, 14 MB if each joins three.
       expect(sent / 1e6).to.be.below(25);
     });
   });
 
-  it('takes no harm from any datagram', async () => {
+  it('tolerates any datagram', async () => {
     await using network = new SimulatedNetwork('fuzz');
     let deliver: (bytes: Uint8Array) => void = () => undefined;
     const self = {
--- a/tests/ownRow.spec.ts
+++ b/tests/ownRow.spec.ts
@@ -1,19 +1,18 @@
 /**
- * A daemon that was restarted took up an upstream that had told it that it leaves: its row had gone back to what it said before.
+ * Guards against a restarted daemon that registers an upstream again although this had announced its shutdown, since the daemon's row had
+ * reverted to an older state:
  *
- * 1. The daemon wrote its row; the call was lost, and the store performed it seconds later.
- * 2. Meanwhile the daemon had written the row again, with what had changed since, and had been told that this was done.
- * 3. The first write took effect then, and put the older row in its place.
+ * 1. A write of the row timed out, and the store performed it seconds later.
+ * 2. Meanwhile the daemon had written the row again with later changes, and this was acknowledged.
+ * 3. The first write took effect then, and replaced the newer row.
  *
- * Cause: the daemon knew by its own count of changes what the row said, and its writes had no condition.
- *
- * Evidence: read from the code in search of whatever is known by a number alone; on the code as it was, the row lacked the second
- * departure for as long as the daemon ran.
+ * Cause: writes were unconditional, and the daemon relied on its own count of changes to know what the row contains. With that code the row
+ * lacked the second departure for as long as the daemon ran.
  */
 import { expect } from 'chai';
 import { PlatformFleet, routeTo } from './fixtures/platformFleet.js';
 
-const LATE_MS = 800;
+const WRITE_DELAY_MS = 800;
 
 describe('the row of a daemon on the platform', () => {
   let fleet: PlatformFleet;
@@ -24,11 +23,11 @@
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
-  it('does not go back when a write that got no answer takes effect late', async () => {
+  it('does not revert when a write without a response takes effect late', async () => {
     const { daemon } = fleet.nodes[0]!;
     const row = () => fleet.store.text('daemons', daemon.membership.me.address) ?? '';
-    const performed = new Promise(resolve => setTimeout(resolve, LATE_MS + 200));
-    fleet.store.faults.lateWritesMs = LATE_MS;
+    const performed = new Promise(resolve => setTimeout(resolve, WRITE_DELAY_MS + 200));
+    fleet.store.faults.lateWritesMs = WRITE_DELAY_MS;
     await daemon.leave('first');
     fleet.store.faults.lateWritesMs = 0;
     await daemon.leave('second');
--- a/tests/settings.spec.ts
+++ b/tests/settings.spec.ts
@@ -21,7 +21,7 @@
   throw new Error('It was accepted.');
 }
 
-const changed = (change: (file: OperatorFile) => void) => {
+const failureOfChange = (change: (file: OperatorFile) => void) => {
   const file = structuredClone(fileOf(deployments.frostline!));
   change(file);
   return failureOf(() => checkOperatorFile(file));
@@ -29,12 +29,12 @@
 
 describe('settings', () => {
   describe('of a process', () => {
-    it('name the field that is missing', () => {
+    it('name the missing field', () => {
       const failure = failureOf(() => loadProcessSettings(undefined, { ip: '127.0.0.1' }));
       expect([failure.result, failure.field]).to.deep.equal(['settingsInvalid', 'failureDomain']);
     });
 
-    it('name the nearest known field for one that is not known', () => {
+    it('suggest the closest known field for an unknown one', () => {
       const failure = failureOf(() =>
         loadProcessSettings(undefined, { ip: '127.0.0.1', failureDomian: 'a' }),
       );
@@ -42,7 +42,7 @@
       expect(failure.message).to.contain('"failureDomain"');
     });
 
-    it('say what was expected and what was found', () => {
+    it('report the expected and the found value', () => {
       const failure = failureOf(() =>
         loadProcessSettings(undefined, { ip: '127.0.0.1', failureDomain: 'a', drainMs: 'long' }),
       );
@@ -51,27 +51,27 @@
   });
 
   describe('of operators', () => {
-    it('are refused for a cycle in who calls whom', () => {
-      const failure = changed(file => file.services.alarms!.routes.list!.calls.push('history.read'));
+    it('are rejected for a cycle of calls', () => {
+      const failure = failureOfChange(file => file.services.alarms!.routes.list!.calls.push('history.read'));
       expect([failure.result, failure.row.code]).to.deep.equal(['callCycle', 1004]);
     });
 
-    it('are refused for an idempotent route that reaches one that is not', () => {
-      const failure = changed(file => (file.services.alarms!.routes.list!.idempotent = false));
+    it('are rejected for an idempotent route that reaches a non-idempotent one', () => {
+      const failure = failureOfChange(file => (file.services.alarms!.routes.list!.idempotent = false));
       expect(failure.result).to.equal('idempotenceBroken');
       expect(failure.message).to.contain('→ alarms.list');
     });
 
-    it('are refused for a class or a call that is not declared', () => {
-      expect(changed(file => (file.services.alarms!.routes.list!.class = 'x')).field).to.contain(
+    it('are rejected for an undeclared class or call', () => {
+      expect(failureOfChange(file => (file.services.alarms!.routes.list!.class = 'x')).field).to.contain(
         'routes.list.class',
       );
-      expect(changed(file => file.services.alarms!.routes.list!.calls.push('no.where')).message).to.contain(
-        'no.where',
-      );
+      expect(
+        failureOfChange(file => file.services.alarms!.routes.list!.calls.push('no.where')).message,
+      ).to.contain('no.where');
     });
 
-    it('never crash the check, whatever they hold', () => {
+    it('never crash the validation, whatever they contain', () => {
       fc.assert(
         fc.property(fc.jsonValue(), value => {
           expect(failureOf(() => checkOperatorFile(value)).result).to.equal('configurationInvalid');
@@ -81,7 +81,7 @@
   });
 
   describe('published pages', () => {
-    it('hold the schemas that the code checks by', () => {
+    it('contain the schemas that the code validates against', () => {
       const published = (name: string) =>
         JSON.parse(readFileSync(sharedFile(`schemas/${name}.json`), 'utf8')) as unknown;
       expect(published('operator-file')).to.deep.equal(JSON.parse(JSON.stringify(OperatorFileSchema)));
--- a/tests/storeCalls.spec.ts
+++ b/tests/storeCalls.spec.ts
@@ -2,10 +2,10 @@
 import { PlatformFleet, configurationText, routeTo, until } from './fixtures/platformFleet.js';
 
 const DOMAINS = ['z1', 'z1', 'z1', 'z1', 'z2', 'z2', 'z2', 'z2'];
-/** Daemons of each failure domain that follow the store. */
+/** Platform readers of each failure domain. */
 const READERS = 2;
 
-describe('what a fleet asks of the store', () => {
+describe('the requests of a fleet to the store', () => {
   let fleet: PlatformFleet;
 
   beforeEach(async () => {
@@ -18,13 +18,13 @@
   const calls = (path: string) => fleet.store.calls.get(path) ?? 0;
   const generations = () => fleet.nodes.map(({ daemon }) => daemon.configuration.generation);
 
-  it('is a row, a list and a configuration for each daemon that starts, and its upstream', () => {
+  it('are a row, a list and a configuration for each daemon that starts, and its upstream', () => {
     expect(calls('/cleatquay/rows-tx')).to.be.at.most(2 * DOMAINS.length);
     expect(calls('/cleatquay/rows-get')).to.be.at.most(2 * DOMAINS.length + READERS);
   });
 
-  it('is a question of two daemons in each failure domain for a new configuration, which all get within a second', async () => {
-    // Feeds that began while the daemons knew few others run out first.
+  it('are those of two daemons in each failure domain for a new configuration, which all daemons get within a second', async () => {
+    // Feeds that began while the daemons knew few other members expire first.
     await new Promise(resolve => setTimeout(resolve, 8500));
     const before = calls('/cleatquay/rows-feed');
     const start = performance.now();
@@ -35,14 +35,14 @@
     expect(calls('/cleatquay/rows-feed') - before).to.be.at.most(2 * READERS);
   });
 
-  it('is next to nothing while the store is away', async () => {
+  it('are few while the store is unreachable', async () => {
     await new Promise(resolve => setTimeout(resolve, 8500));
     fleet.store.faults.down = 'reset';
     const before = [...fleet.store.calls.values()].reduce((a, b) => a + b, 0);
     await new Promise(resolve => setTimeout(resolve, 5000));
-    const asked = [...fleet.store.calls.values()].reduce((a, b) => a + b, 0) - before;
+    const requests = [...fleet.store.calls.values()].reduce((a, b) => a + b, 0) - before;
     fleet.store.faults.down = 'no';
-    // Sixteen by the four readers; thirty when all eight daemons followed the store and looked after their rows.
-    expect(asked).to.be.at.most(22);
+    // Sixteen by the four readers; thirty if all eight daemons read the store and check their rows.
+    expect(requests).to.be.at.most(22);
   });
 });
