--- a/tests/admission.spec.ts
+++ b/tests/admission.spec.ts
@@ -8,7 +8,7 @@
 const NEVER = new AbortController().signal;
 setMaxListeners(0, NEVER);
 const CLASSES = 3;
-const FAR_MS = 60_000;
+const REMAINING_MS = 60_000;
 
 function admission(clock: ManualClock, slots: number): Admission {
   return new Admission({
@@ -23,18 +23,18 @@
 
 const settle = () => new Promise(resolve => setImmediate(resolve));
 
-interface Asked {
+interface TrackedRequest {
   readonly level: number;
   state: 'waiting' | 'running' | 'refused';
   permit?: Permit;
 }
 
 describe('admission', () => {
-  describe('the order of refusal', () => {
-    it('never refuses a request while a less important one keeps waiting', async () => {
+  describe('the order in which requests are refused', () => {
+    it('never refuses a request while one of lower priority stays in the queue', async () => {
       const step = fc.oneof(
         fc.record({
-          kind: fc.constant('ask' as const),
+          kind: fc.constant('request' as const),
           level: fc.double({ min: 0, max: CLASSES, maxExcluded: true, noNaN: true }),
         }),
         fc.record({ kind: fc.constant('release' as const), which: fc.nat(50) }),
@@ -47,21 +47,21 @@
           async (slots, steps) => {
             const clock = new ManualClock();
             using gate = admission(clock, slots);
-            const all: Asked[] = [];
-            const refusedNow: Asked[] = [];
-            const note = (asked: Asked) => (result: Permit | Refusal) => {
-              asked.state = 'release' in result ? 'running' : 'refused';
-              if ('release' in result) asked.permit = result;
-              else refusedNow.push(asked);
+            const requests: TrackedRequest[] = [];
+            const refusedNow: TrackedRequest[] = [];
+            const recordResult = (request: TrackedRequest) => (result: Permit | Refusal) => {
+              request.state = 'release' in result ? 'running' : 'refused';
+              if ('release' in result) request.permit = result;
+              else refusedNow.push(request);
             };
             for (const s of steps) {
-              if (s.kind === 'ask') {
-                const asked: Asked = { level: s.level, state: 'waiting' };
-                all.push(asked);
-                void gate.request(s.level, FAR_MS, NEVER).then(note(asked));
+              if (s.kind === 'request') {
+                const request: TrackedRequest = { level: s.level, state: 'waiting' };
+                requests.push(request);
+                void gate.request(s.level, REMAINING_MS, NEVER).then(recordResult(request));
               } else if (s.kind === 'wait') clock.advance(s.ms);
               else {
-                const running = all.filter(a => a.state === 'running');
+                const running = requests.filter(a => a.state === 'running');
                 const released = running[s.which % Math.max(1, running.length)];
                 if (released) {
                   released.state = 'refused';
@@ -69,11 +69,11 @@
                 }
               }
               await settle();
-              const waiting = all.filter(a => a.state === 'waiting');
-              expect(all.filter(a => a.state === 'running').length).to.be.at.most(slots);
-              if (s.kind === 'ask') {
+              const waiting = requests.filter(a => a.state === 'waiting');
+              expect(requests.filter(a => a.state === 'running').length).to.be.at.most(slots);
+              if (s.kind === 'request') {
                 const overtaken = refusedNow.some(refused => waiting.some(w => w.level > refused.level));
-                expect(overtaken, 'a less important request kept its place').to.equal(false);
+                expect(overtaken, 'a request of lower priority stayed in the queue').to.equal(false);
               }
               refusedNow.length = 0;
             }
@@ -83,7 +83,7 @@
       );
     });
 
-    it('is the same at every hop, since it comes from the request at the top', () => {
+    it('is the same at every hop, since levels derive from the id of the root request', () => {
       fc.assert(
         fc.property(fc.string(), fc.nat(5), (rootId, rank) => {
           const level = levelOf(rank, rootId);
@@ -96,7 +96,7 @@
       );
     });
 
-    it('is that of the class, but for an eighth of each, which is spread evenly over the most important one', () => {
+    it('follows the priority class, except for an eighth of each class, which is spread evenly over the top class', () => {
       const levels = Array.from({ length: 8000 }, (_, index) => levelOf(2, `request-${String(index)}`));
       const guaranteed = levels.filter(level => level < 1);
       const others = levels.filter(level => level >= 2);
@@ -112,12 +112,12 @@
     });
   });
 
-  describe('the level', () => {
-    it('opens again by itself within two seconds after the last refusal', async () => {
+  describe('the admission level', () => {
+    it('recovers within two seconds after the last refusal', async () => {
       const clock = new ManualClock();
       using gate = admission(clock, 1);
-      const permit = (await gate.request(0.5, FAR_MS, NEVER)) as Permit;
-      const refusals = Array.from({ length: 40 }, (_, i) => gate.request(0.1 + i / 20, FAR_MS, NEVER));
+      const permit = (await gate.request(0.5, REMAINING_MS, NEVER)) as Permit;
+      const refusals = Array.from({ length: 40 }, (_, i) => gate.request(0.1 + i / 20, REMAINING_MS, NEVER));
       clock.advance(600);
       permit.release('answered');
       expect(gate.load().admissionLevel).to.be.below(CLASSES);
@@ -127,7 +127,7 @@
     });
   });
 
-  it('is open to every class before and after a configuration comes', () => {
+  it('admits every class before and after a configuration arrives', () => {
     let classes = 16;
     const clock = new ManualClock();
     const options = { clock, random: () => 0.5, slots: 1, maxQueueMs: () => 50, cold: false };
@@ -140,8 +140,8 @@
     expect(gate.load().admissionLevel).to.equal(5);
   });
 
-  describe('the limit', () => {
-    it('stays between 1 and the announced slots, whatever the upstream sheds or answers', () => {
+  describe('the concurrency limit', () => {
+    it('stays between 1 and the announced slots, whatever the sequence of responses and shed requests', () => {
       fc.assert(
         fc.property(
           fc.integer({ min: 1, max: 500 }),
--- a/tests/fullLoad.spec.ts
+++ b/tests/fullLoad.spec.ts
@@ -4,50 +4,50 @@
 
 const SLOTS = 20;
 
-describe('the slots of an upstream that always has more to do', () => {
+describe('the slots of an upstream under sustained load', () => {
   const random = seededRandom('full load');
   let clock: ManualClock;
-  let fullLoad: FullLoad;
+  let detector: FullLoad;
 
   beforeEach(() => {
     clock = new ManualClock();
-    fullLoad = new FullLoad(clock);
+    detector = new FullLoad(clock);
   });
 
-  /** Runs for some seconds, one every 2 ms, whose times spread by half of their mean; gives the part of the time with all slots in use. */
-  const partInFullUse = (factorWhenFull: number, seconds = 20): number => {
+  /** Records a run every 2 ms whose durations spread by half of their mean; returns the ratio of the time in which all slots are usable. */
+  const fullSlotsRatio = (slowdownWhenFull: number, seconds = 20): number => {
     let full = 0;
     for (let ms = 0; ms < seconds * 1000; ms += 2) {
       clock.advance(2);
-      const isFull = fullLoad.usableRatio === 1;
+      const isFull = detector.usableRatio === 1;
       if (isFull) full += 2;
       const mean = random() < 0.2 ? 100 : 30;
       const kind = mean === 100 ? 'long' : 'short';
-      fullLoad.recordRun(
+      detector.recordRun(
         kind,
-        fullLoad.usableRatio,
-        mean * (isFull ? factorWhenFull : 1) * (0.13 + 1.74 * random()),
+        detector.usableRatio,
+        mean * (isFull ? slowdownWhenFull : 1) * (0.13 + 1.74 * random()),
       );
     }
     return full / (seconds * 1000);
   };
 
-  it('are all used when it is as fast with all of them, but for a twentieth of the time', () => {
-    expect(partInFullUse(1)).to.be.above(0.9);
+  it('are all used except for a twentieth of the time when it is as fast with all of them', () => {
+    expect(fullSlotsRatio(1)).to.be.above(0.9);
   });
 
-  it('are not all used when it takes 1.3 times as long with all of them, but for a twentieth of the time', () => {
-    partInFullUse(1.3);
-    expect(partInFullUse(1.3)).to.be.below(0.1);
+  it('are reduced except for a twentieth of the time when runs take 1.3 times as long with all of them', () => {
+    fullSlotsRatio(1.3);
+    expect(fullSlotsRatio(1.3)).to.be.below(0.1);
   });
 
-  it('are all used again when it no longer does', () => {
-    partInFullUse(1.3);
-    partInFullUse(1);
-    expect(partInFullUse(1)).to.be.above(0.85);
+  it('are all used again when the slowdown is over', () => {
+    fullSlotsRatio(1.3);
+    fullSlotsRatio(1);
+    expect(fullSlotsRatio(1)).to.be.above(0.85);
   });
 
-  it('are all used for most of the time, however many they are', () => {
+  it('are all used most of the time for any number of slots', () => {
     for (const slots of [11, 15, 19, 36, 63]) {
       const limit = new AdaptiveLimit(clock, slots, false);
       let full = 0;
@@ -60,7 +60,7 @@
     }
   });
 
-  it('are all of a few, of which a tenth would be more than a tenth', () => {
+  it('are all used when there are too few to leave a tenth free', () => {
     for (const slots of [1, 2, 5, 9]) {
       const limit = new AdaptiveLimit(clock, slots, false);
       for (let i = 0; i < 400; i++) {
@@ -71,7 +71,7 @@
     }
   });
 
-  it('are nine tenths of what it announces', () => {
+  it('are limited to nine tenths of the announced slots', () => {
     const limit = new AdaptiveLimit(clock, SLOTS, false);
     expect(limit.value).to.equal(20);
     clock.advance(1000);
--- a/tests/rateLimit.spec.ts
+++ b/tests/rateLimit.spec.ts
@@ -9,14 +9,14 @@
 
 const WINDOW_MS = 4000;
 const HEARTBEAT_MS = 1500;
-const naming = (rateLimit: AnswerNotice['rateLimit']): AnswerNotice => ({ ...NOTHING_SAID, rateLimit });
+const noticeWith = (rateLimit: AnswerNotice['rateLimit']): AnswerNotice => ({ ...NOTHING_SAID, rateLimit });
 
 describe('the rate limit of an upstream', () => {
   let clock: ManualClock;
 
   beforeEach(() => (clock = new ManualClock()));
 
-  /** Takes what it may at steps of so many ms; gives the times. */
+  /** Takes all available tokens at each step; returns the times. */
   const takeAll = (rate: RateLimit, ms: number, stepMs = 5): number[] => {
     const times: number[] = [];
     for (const end = clock.now() + ms; clock.now() < end; clock.advance(stepMs)) {
@@ -28,12 +28,15 @@
     return times;
   };
 
-  it('lets what it names go, no more in any window than that and half a second of it, whatever happens between', () => {
+  it('allows no more in any window than the reported rate and a burst of half a second, whatever happens in between', () => {
     const step = fc.oneof(
-      fc.record({ kind: fc.constant('press' as const), ms: fc.integer({ min: 1, max: 3000 }) }),
-      fc.record({ kind: fc.constant('stand still' as const), ms: fc.integer({ min: 1, max: 20_000 }) }),
-      fc.record({ kind: fc.constant('name' as const), rate: fc.double({ min: 0, max: 50, noNaN: true }) }),
-      fc.record({ kind: fc.constant('tell' as const), rate: fc.double({ min: 0, max: 1e9, noNaN: true }) }),
+      fc.record({ kind: fc.constant('take' as const), ms: fc.integer({ min: 1, max: 3000 }) }),
+      fc.record({ kind: fc.constant('pause' as const), ms: fc.integer({ min: 1, max: 20_000 }) }),
+      fc.record({ kind: fc.constant('report' as const), rate: fc.double({ min: 0, max: 50, noNaN: true }) }),
+      fc.record({
+        kind: fc.constant('peer report' as const),
+        rate: fc.double({ min: 0, max: 1e9, noNaN: true }),
+      }),
     );
     fc.assert(
       fc.property(fc.array(step, { maxLength: 30 }), steps => {
@@ -42,9 +45,9 @@
         rate.named(50);
         const times: number[] = [];
         for (const s of steps) {
-          if (s.kind === 'press') times.push(...takeAll(rate, s.ms));
-          else if (s.kind === 'stand still') clock.advance(s.ms);
-          else if (s.kind === 'name') rate.named(s.rate);
+          if (s.kind === 'take') times.push(...takeAll(rate, s.ms));
+          else if (s.kind === 'pause') clock.advance(s.ms);
+          else if (s.kind === 'report') rate.named(s.rate);
           else rate.told(s.rate);
         }
         expect(mostWithin(times, WINDOW_MS)).to.be.at.most((50 * (WINDOW_MS + 500)) / 1000 + 1);
@@ -52,7 +55,7 @@
     );
   });
 
-  it('gains half a second at most by any time that goes by, and nothing by a suspension of its VM or a step of the time of day', () => {
+  it('accumulates at most half a second of tokens, and none by a suspension of its VM or a step of the wall clock', () => {
     const time = new SuspendableTime();
     const rate = new RateLimit(new SystemClock(time));
     rate.named(10);
@@ -65,19 +68,19 @@
     expect(taken).to.equal(5);
   });
 
-  it('is used up where enough is asked', () => {
+  it('is fully used under sufficient load', () => {
     const rate = new RateLimit(clock);
     rate.named(18.9);
     expect(takeAll(rate, 20_000).length).to.be.within(377, 378);
   });
 
-  it('of almost 0 still lets one request go in time', () => {
+  it('of almost 0 still allows single requests', () => {
     const rate = new RateLimit(clock);
     rate.named(0.25);
     expect(takeAll(rate, 9000)).to.have.length(2);
   });
 
-  it('is not ended by an answer that was asked for before it was named', () => {
+  it('is not removed by the response to a request that was sent before the rate was reported', () => {
     const rate = new RateLimit(clock);
     const askedAt = clock.awake();
     clock.advance(10);
@@ -89,7 +92,7 @@
     expect(rate.perSecond).to.equal(undefined);
   });
 
-  it('holds as others tell it until the first answer', () => {
+  it('holds as reported by peers until the first response', () => {
     const rate = new RateLimit(clock);
     rate.told(5);
     expect(rate.perSecond).to.equal(5);
@@ -98,8 +101,8 @@
     expect(rate.perSecond).to.equal(undefined);
   });
 
-  describe('in the admission', () => {
-    const never = new AbortController().signal;
+  describe('in admission control', () => {
+    const NEVER = new AbortController().signal;
     const admission = (maxQueueMs: number) =>
       new Admission({
         clock,
@@ -110,34 +113,34 @@
         cold: false,
       });
 
-    it('refuses at once what would wait too long, though slots are free, and says how much runs at once', async () => {
+    it('refuses at once what would wait too long although slots are free, and reports the concurrency at that rate', async () => {
       using gate = admission(50);
       gate.rate.named(4);
-      const results = await Promise.all([1, 1.5, 1.9].map(level => gate.request(level, 1000, never)));
+      const results = await Promise.all([1, 1.5, 1.9].map(level => gate.request(level, 1000, NEVER)));
       expect(results.map(result => 'release' in result)).to.deep.equal([false, false, false]);
       expect(gate.load().limit).to.equal(1);
       expect(gate.load().admissionLevel).to.equal(1);
     });
 
-    it('lets no more than two seconds of it be under way, though the upstream stands still', async () => {
+    it('keeps at most two seconds of requests in flight while the upstream is paused', async () => {
       using gate = admission(50);
       gate.rate.named(4);
       let running = 0;
       for (let i = 0; i < 200; i++) {
-        void gate.request(0.5, 60_000, never).then(result => 'release' in result && running++);
+        void gate.request(0.5, 60_000, NEVER).then(result => 'release' in result && running++);
         clock.advance(50);
         await new Promise(resolve => setImmediate(resolve));
       }
       expect(running).to.equal(8);
     });
 
-    it('lets what waits go in the order of importance as the rate allows', async () => {
+    it('starts queued requests by priority as the rate allows', async () => {
       using gate = admission(1000);
       gate.rate.named(4);
       const order: number[] = [];
       for (const level of [1.5, 0.5, 1.2])
         void gate
-          .request(level, 5000, never)
+          .request(level, 5000, NEVER)
           .then(result => 'release' in result && order.push(level) && result.release('answered'));
       for (let i = 0; i < 60; i++) {
         clock.advance(25);
@@ -147,14 +150,14 @@
     });
   });
 
-  describe('beside a daemon', () => {
+  describe('of an upstream known to a daemon', () => {
     let upstreams: Upstreams;
-    let asked: number;
+    let healthChecks: number;
     let healthNotice: AnswerNotice | undefined;
 
     beforeEach(async () => {
-      asked = 0;
-      healthNotice = naming('none');
+      healthChecks = 0;
+      healthNotice = noticeWith('none');
       upstreams = new Upstreams({
         clock,
         random: () => 0.5,
@@ -165,7 +168,7 @@
         bounds: () => ({ maxQueueMs: 50 }),
         checkAddress: () => Promise.resolve(),
         askNotice: () => {
-          asked++;
+          healthChecks++;
           return Promise.resolve(healthNotice);
         },
         onDeparture: () => undefined,
@@ -190,8 +193,8 @@
         born,
       });
     const history = () => upstreams.get('history')!;
-    const answers = (rateLimit: AnswerNotice['rateLimit']) =>
-      history().heard(naming(rateLimit), clock.awake());
+    const respond = (rateLimit: AnswerNotice['rateLimit']) =>
+      history().heard(noticeWith(rateLimit), clock.awake());
     const perSecond = () => history().admission.rate.perSecond;
     const pass = async (ms: number) => {
       for (let i = 0; i < ms; i += 500) {
@@ -201,14 +204,14 @@
       }
     };
 
-    it('is kept while what is named makes no sense', () => {
-      answers(5);
-      answers('unclear');
+    it('is kept while the reported value is invalid', () => {
+      respond(5);
+      respond('unclear');
       expect(perSecond()).to.equal(5);
     });
 
-    it('is kept for an upstream that was out and is heard of again, and not for its next start', async () => {
-      answers(5);
+    it('is kept for an upstream that announces itself again after an outage, and not for its next process start', async () => {
+      respond(5);
       history().refusedConnection();
       expect(upstreams.get('history')).to.equal(undefined);
       await announce();
@@ -217,46 +220,46 @@
       expect(perSecond()).to.equal(undefined);
     });
 
-    it('is told to others, and taken from them only where it makes sense', () => {
-      answers(5);
+    it('is reported to peers, and accepted from them only if it is valid', () => {
+      respond(5);
       expect(history().notice).to.include({ instanceId: 'a', born: 1, requestsPerSecond: 5 });
       clock.advance(1);
-      answers('none');
+      respond('none');
       expect(history().notice).to.equal(undefined);
       for (const requestsPerSecond of [-1, Number.NaN, Number.POSITIVE_INFINITY])
         upstreams.told('history', { instanceId: 'a', born: 1, requestsPerSecond, isLeaving: false });
       expect(perSecond()).to.equal(undefined);
     });
 
-    it('of 0 is looked into every few seconds, at the health check first', async () => {
-      healthNotice = naming(0);
-      answers(0);
+    it('of 0 is probed every few seconds, first by a health check', async () => {
+      healthNotice = noticeWith(0);
+      respond(0);
       await pass(10_000);
-      expect(asked).to.be.within(3, 4);
+      expect(healthChecks).to.be.within(3, 4);
       expect(history().admission.rate.hasRoom).to.equal(false);
-      healthNotice = naming('none');
+      healthNotice = noticeWith('none');
       await pass(3000);
       expect(history().admission.rate.hasRoom).to.equal(true);
       expect(perSecond()).to.equal(0);
-      healthNotice = naming(7);
+      healthNotice = noticeWith(7);
       await pass(3000);
       expect(perSecond()).to.equal(7);
     });
 
-    it('of 0 that only others have heard of is looked into at once, and once, however many tell it', async () => {
+    it('of 0 that only peers report is probed at once, and once, however many report it', async () => {
       for (let i = 0; i < 10; i++) {
         upstreams.told('history', { instanceId: 'a', born: 1, requestsPerSecond: 0, isLeaving: false });
         clock.advance(10);
         await new Promise(resolve => setImmediate(resolve));
       }
-      expect(asked).to.equal(1);
+      expect(healthChecks).to.equal(1);
       expect(history().admission.rate.hasRoom).to.equal(true);
     });
 
-    it('that is ordinary is not looked into', async () => {
-      answers(5);
+    it('that is not slow is not probed', async () => {
+      respond(5);
       await pass(10_000);
-      expect(asked).to.equal(0);
+      expect(healthChecks).to.equal(0);
     });
   });
 });
--- a/tests/routeCosts.spec.ts
+++ b/tests/routeCosts.spec.ts
@@ -4,26 +4,26 @@
 
 const RUNS = 50;
 
-/** Costs of an upstream that ran as many dear requests as cheap ones, the dear `ratio` times as long. */
+/** Costs of an upstream that ran as many expensive requests as cheap ones, each `ratio` times as long. */
 function costsOf(ratio: number): RouteCosts {
   const costs = new RouteCosts();
   for (let i = 0; i < RUNS; i++) {
     costs.ran('cheap', 10);
-    costs.ran('dear', 10 * ratio);
+    costs.ran('expensive', 10 * ratio);
   }
   return costs;
 }
 
-describe('what fresh requests of a route cost', () => {
+describe('costs of root requests by route', () => {
   const levels = fc.double({ min: 0, max: 3, maxExcluded: true, noNaN: true });
   const ratios = fc.double({ min: 1, max: 100, noNaN: true });
 
-  it('keeps the order among requests of a route, and their class', () => {
+  it('keep the order among requests of a route, and their class', () => {
     fc.assert(
       fc.property(ratios, levels, levels, (ratio, a, b) => {
         const costs = costsOf(ratio);
         const [first, second] = [Math.min(a, b), Math.max(a, b)].map(level =>
-          costs.levelInQueue('dear', level),
+          costs.levelInQueue('expensive', level),
         );
         expect(first).to.be.at.most(second!);
         expect(Math.floor(first!)).to.equal(Math.floor(Math.min(a, b)));
@@ -31,37 +31,37 @@
     );
   });
 
-  it('never moves a cheap request, and a dear one only back', () => {
+  it('never move a cheap request, and move an expensive one only back', () => {
     fc.assert(
       fc.property(ratios, levels, (ratio, level) => {
         const costs = costsOf(ratio);
         expect(costs.levelInQueue('cheap', level)).to.equal(level);
-        expect(costs.levelInQueue('dear', level)).to.be.at.least(level);
+        expect(costs.levelInQueue('expensive', level)).to.be.at.least(level);
       }),
     );
   });
 
-  it('admits the dear at least half as often as the cheap, wherever the level is', () => {
+  it('leave expensive requests admitted at least half as often as cheap ones, at any admission level', () => {
     fc.assert(
       fc.property(
         ratios,
         fc.integer({ min: 0, max: 2 }),
         fc.double({ min: 0.01, max: 1, noNaN: true }),
         (ratio, rank, share) => {
-          const told = costsOf(ratio).levelForFresh('dear', rank + share) - rank;
-          expect(told).to.be.at.least(share / 2 - 1e-9);
+          const rootLevel = costsOf(ratio).levelForFresh('expensive', rank + share) - rank;
+          expect(rootLevel).to.be.at.least(share / 2 - 1e-9);
         },
       ),
     );
   });
 
-  it('tells the level at which the queue would refuse the request', () => {
+  it('give the admission level at which the queue would refuse the request', () => {
     fc.assert(
       fc.property(ratios, levels, levels, (ratio, level, refusedFrom) => {
         const costs = costsOf(ratio);
-        const told = costs.levelForFresh('dear', refusedFrom);
-        fc.pre(Math.abs(level - told) > 1e-6);
-        expect(costs.levelInQueue('dear', level) < refusedFrom).to.equal(level < told);
+        const rootLevel = costs.levelForFresh('expensive', refusedFrom);
+        fc.pre(Math.abs(level - rootLevel) > 1e-6);
+        expect(costs.levelInQueue('expensive', level) < refusedFrom).to.equal(level < rootLevel);
       }),
     );
   });
--- a/tests/routing.spec.ts
+++ b/tests/routing.spec.ts
@@ -3,9 +3,9 @@
 import { Directory, Router, type RouterOptions } from '@cleatquay/routing';
 import { expect } from 'chai';
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NONE_TRIED: ReadonlySet<string> = new Set();
 
-/** One member with an upstream of `s`; `a` is near. */
+/** A member with an upstream of the service `s`; the router is in the failure domain `a`. */
 function member(name: string, failureDomain: string, draining = false): Member {
   const address = `127.0.0.1:${name}`;
   const upstreams = [{ service: 's', address, slots: 10, connections: 10, draining }];
@@ -38,11 +38,11 @@
     });
 
   const chosen = (level = 1) => {
-    const selection = router.choose('s', 's.run', level, NOBODY);
+    const selection = router.choose('s', 's.run', level, NONE_TRIED);
     return selection.kind === 'chosen' ? selection.candidate.address : selection.kind;
   };
 
-  /** Chooses often; gives the share that each got. */
+  /** Makes many choices; returns the ratio of each candidate. */
   const shares = (level = 1, count = 1000) => {
     const counted: Record<string, number> = {};
     for (let i = 0; i < count; i++) {
@@ -60,34 +60,34 @@
     }
   };
 
-  it('takes the near upstream while it has room', () => {
+  it('chooses the upstream in the same failure domain while it has capacity', () => {
     expect(shares()).to.have.all.keys('127.0.0.1:1');
   });
 
-  it('spills over to others when the near one is busy', () => {
+  it('spills over to other failure domains when it is busy', () => {
     for (let i = 0; i < 10; i++) router.started('127.0.0.1:1');
     expect(shares()).to.not.have.any.keys('127.0.0.1:1');
   });
 
-  describe('a near upstream that is full', () => {
-    /** Starts so many calls for each ten slots of the near one, and of the others. */
-    const start = (near: number, far: number) => {
-      for (let i = 0; i < near; i++) router.started('127.0.0.1:1');
-      for (let i = 0; i < far; i++) ['2', '3'].forEach(name => router.started(`127.0.0.1:${name}`));
+  describe('a full upstream in the same failure domain', () => {
+    /** Starts calls on the upstream in the same failure domain, and on each of the others; each has ten slots. */
+    const start = (sameDomain: number, otherDomain: number) => {
+      for (let i = 0; i < sameDomain; i++) router.started('127.0.0.1:1');
+      for (let i = 0; i < otherDomain; i++) ['2', '3'].forEach(name => router.started(`127.0.0.1:${name}`));
     };
 
-    it('is taken when those further away are hardly less busy', () => {
+    it('is chosen when those in other failure domains are hardly less busy', () => {
       start(15, 13);
       expect(shares()).to.have.all.keys('127.0.0.1:1');
     });
 
-    it('is not taken when they are much less busy', () => {
+    it('is not chosen when they are much less busy', () => {
       start(15, 12);
       expect(shares()).to.not.have.any.keys('127.0.0.1:1');
     });
   });
 
-  it('avoids a near upstream that is far slower than the others, but for a trickle', () => {
+  it('avoids an upstream in the same failure domain that is much slower than the others, except for few probes', () => {
     measure('1', 100);
     measure('2', 10);
     measure('3', 10);
@@ -96,18 +96,18 @@
       .and.below(0.1);
   });
 
-  it('lets a trickle of calls that stop at no level find out that an upstream is well again', () => {
+  it('probes a slow upstream with few calls of running requests, to detect its recovery', () => {
     measure('1', 100);
     measure('2', 10);
     measure('3', 10);
     const isSlowOne = () => {
-      const selection = router.choose('s', 's.run', 1, NOBODY, 0);
+      const selection = router.choose('s', 's.run', 1, NONE_TRIED, 0);
       return selection.kind === 'chosen' && selection.candidate.address === '127.0.0.1:1';
     };
     expect(Array.from({ length: 1000 }, isSlowOne)).to.include(true);
   });
 
-  it('notices a near upstream that stops answering before the first of its calls has ended', () => {
+  it('detects an upstream that stops responding before the first of its calls has ended', () => {
     ['1', '2', '3'].forEach(name => measure(name, 10));
     [1, 2, 3, 4].forEach(() => router.started('127.0.0.1:1'));
     expect(shares()).to.have.all.keys('127.0.0.1:1');
@@ -115,12 +115,12 @@
     expect(shares()['127.0.0.1:1'] ?? 0).to.be.below(0.1);
   });
 
-  it('leaves no service without upstreams when all of them are slow', () => {
+  it('still chooses an upstream when all of them are slow', () => {
     ['1', '2', '3'].forEach(name => measure(name, 1000));
     expect(shares()).to.have.all.keys('127.0.0.1:1');
   });
 
-  it('never sends what would be refused, and refuses when all would', () => {
+  it('never chooses an upstream that would refuse the call, and refuses when all would', () => {
     const load = { inFlight: 0, queued: 0, limit: 10, admissionLevel: 1.5 };
     router.heard('127.0.0.1:1', 's.run', load);
     expect(chosen(1.6)).to.not.equal('127.0.0.1:1');
@@ -130,7 +130,7 @@
     expect(chosen(1.4)).to.equal('127.0.0.1:1');
   });
 
-  it('opens again for what was refused when it hears nothing more', () => {
+  it('admits refused levels again when there are no newer reports', () => {
     const load = { inFlight: 0, queued: 0, limit: 10, admissionLevel: 0 };
     ['1', '2', '3'].forEach(name => router.heard(`127.0.0.1:${name}`, 's.run', load));
     expect(chosen(2.9)).to.equal('refused');
@@ -138,8 +138,8 @@
     expect(chosen(2.9)).to.not.equal('refused');
   });
 
-  describe('the level of a service', () => {
-    it('is open while one of its upstreams is in contact, and closed when none is', () => {
+  describe('the admission level of a service', () => {
+    it('is open while one of its upstreams is reachable, and 0 when none is', () => {
       const lost = new Set<string>();
       router = newRouter(({ address }) => (lost.has(address) ? 'lost' : 'good'));
       ['1', '2'].forEach(name => lost.add(`127.0.0.1:${name}`));
@@ -149,12 +149,11 @@
     });
 
     /**
-     * What users saw: all less important requests of a route failed after their upstream had worked on them, since a service two
-     * calls further down had no room; hardly any was refused where it entered. The level of the full service was 0.21, and each daemon
-     * on the way told the next one that all was open: its calls went to the upstream near it, and one further away, of which it had not
-     * heard for seconds, counted as open. Seen in the logs: 300 of 300 such requests were let in, and two calls later refused at level 0.21.
+     * Regression: requests of lower priority were admitted at the ingress, processed, and failed two calls further down, where an overloaded
+     * service had an admission level of 0.21 (300 of 300 such requests in the logs). Each daemon on the way reported an open level: its calls went
+     * to the upstream in the same failure domain, and one in another domain without a report for seconds counted as open.
      */
-    it('is that of the upstreams that its calls go to, not of one of which nothing was heard', () => {
+    it('is that of the upstreams that receive its calls, not of one without recent reports', () => {
       const load = { inFlight: 2, queued: 0, limit: 10, admissionLevel: 0.2 };
       for (let second = 0; second < 5; second++) {
         clock.advance(1000);
@@ -163,7 +162,7 @@
       expect(router.levelFor('s', 's.run')).to.be.below(1);
     });
 
-    it('opens little by little when nothing more is heard of any', () => {
+    it('recovers gradually when there are no newer reports', () => {
       router.heard('127.0.0.1:1', 's.run', { inFlight: 2, queued: 0, limit: 10, admissionLevel: 0.2 });
       clock.advance(1000);
       expect(router.levelFor('s', 's.run')).to.be.below(1);
@@ -171,17 +170,17 @@
       expect(router.levelFor('s', 's.run')).to.be.above(3);
     });
 
-    it('is closed when it has no upstream at all', () => {
+    it('is 0 when the service has no upstream', () => {
       expect(router.levelFor('unknown', 'unknown.run')).to.equal(0);
     });
   });
 
-  it('backs off from an upstream out of reach', () => {
+  it('backs off from an unreachable upstream', () => {
     router.started('127.0.0.1:1')('unreachable');
     expect(shares()).to.not.have.any.keys('127.0.0.1:1');
   });
 
-  it('drops draining and gone upstreams at once', () => {
+  it('removes draining upstreams and those of dead or departed members at once', () => {
     directory.update(member('1', 'a', true));
     directory.update({ ...member('2', 'b'), state: 'DEAD' });
     expect(shares()).to.have.all.keys('127.0.0.1:3');
