--- a/packages/admission/src/level.ts
+++ b/packages/admission/src/level.ts
@@ -9,7 +9,7 @@
  * Guards against starvation: with strict priorities, a service that lacks capacity for the top class alone serves nothing of the others for
  * as long as that lasts. Where there is capacity for the top class and these eighths, nothing changes.
  */
-const GUARANTEED_SHARE = 1 / 8;
+const GUARANTEED_RATIO = 1 / 8;
 
 /**
  * The level of a request: its priority class (`rank`), then a fraction that is the same at every hop, since it is a hash of the
@@ -17,11 +17,11 @@
  * Overload Control for Scaling WeChat Microservices, SoCC 2018), which has no guaranteed share.
  */
 export function levelOf(rank: number, rootId: string): number {
-  const place = hashFraction(rootId);
-  if (rank === 0) return place;
-  if (place < GUARANTEED_SHARE) return place / GUARANTEED_SHARE;
+  const fraction = hashFraction(rootId);
+  if (rank === 0) return fraction;
+  if (fraction < GUARANTEED_RATIO) return fraction / GUARANTEED_RATIO;
   // The rest is spread over the whole range of its class: an admission level takes time to rise through a gap.
-  return rank + (place - GUARANTEED_SHARE) / (1 - GUARANTEED_SHARE);
+  return rank + (fraction - GUARANTEED_RATIO) / (1 - GUARANTEED_RATIO);
 }
 
 /**
--- a/packages/admission/src/routeCosts.ts
+++ b/packages/admission/src/routeCosts.ts
@@ -40,9 +40,9 @@
   /** The level by which a root request of the route is queued, given its own `level`. */
   levelInQueue(route: string, level: number): number {
     const rank = Math.floor(level);
-    const place = level - rank;
-    const moved = Math.min(place ** (1 / this.exponent(route)), place / MIN_ADMISSION_RATIO);
-    return rank + Math.min(MAX_FRACTION, Math.max(place, moved));
+    const fraction = level - rank;
+    const moved = Math.min(fraction ** (1 / this.exponent(route)), fraction / MIN_ADMISSION_RATIO);
+    return rank + Math.min(MAX_FRACTION, Math.max(fraction, moved));
   }
 
   /** The admission level for root requests of the route, given the admission level of the queue; the inverse of the queue level. */
@@ -50,8 +50,8 @@
     const exponent = this.exponent(route);
     if (exponent === 1 || !Number.isFinite(level)) return level;
     const rank = Math.floor(level);
-    const place = level - rank;
-    return rank + Math.max(place ** exponent, place * MIN_ADMISSION_RATIO);
+    const fraction = level - rank;
+    return rank + Math.max(fraction ** exponent, fraction * MIN_ADMISSION_RATIO);
   }
 
   private exponent(route: string): number {
