--- a/packages/admission/src/fullLoad.ts
+++ b/packages/admission/src/fullLoad.ts
@@ -1,77 +1,78 @@
 /**
- * How many of its slots an upstream is worth. Some slow down when nearly all of them are in use, and run more requests a second with a few
- * left free. So it is tried: for a twentieth of the time the other number of slots is used, and the times of runs are compared.
+ * Detects whether an upstream has a higher throughput with a tenth of its slots left free. Some upstreams slow down when nearly all of
+ * their slots are in use. The detector compares run durations at full and at partial utilisation, and uses the other number of slots for a
+ * twentieth of the time to keep both measured.
  *
- * Answers to: a service that is too small for what is asked of it.
+ * Guards against: a service whose upstreams are permanently overloaded.
  */
 import { type Clock } from '@cleatquay/clock';
 
-/** From this share of its slots on, an upstream is nearly full. */
-const FULL_FROM = 0.95;
-/** Runs that began from this share on, and below that, tell how fast it is with some slots free. */
-const PARTLY_FROM = 0.5;
-const SHARE_BELOW_FULL = 0.9;
-/** It runs more a second with that share if it is slower by more than 1.11 when full; a twentieth above that, for noise. */
-const TELLING_FACTOR = 1.05 / SHARE_BELOW_FULL;
+/** Runs that began at this utilisation or above count as full. */
+const FULL_UTILISATION = 0.95;
+/** Runs that began at this utilisation or above, but below full, measure the speed with some slots free. */
+const PARTIAL_UTILISATION = 0.5;
+const REDUCED_SLOTS_RATIO = 0.9;
+/** With a tenth of the slots free, throughput is higher if full runs take more than 1.11 times as long; 5 % are added for noise. */
+const MAX_SLOWDOWN = 1.05 / REDUCED_SLOTS_RATIO;
 /**
- * Weight of a run in the means, and runs of a route that tell: a mean then spreads by a twenty-fifth of what the times do, so that noise makes
- * few findings wrong.
+ * Weight of a run in the moving averages, and runs that a route needs before it counts. The spread of an average is then a twenty-fifth of the
+ * spread of the durations, so that noise rarely leads to a wrong decision.
  */
-const WEIGHT = 0.003;
-const TELLING_RUNS = 100;
+const MEAN_WEIGHT = 0.003;
+const MIN_RUNS = 100;
 /**
- * The other number of slots is tried for a twentieth of the time: where nothing is gained by it, that costs half a hundredth of the room. Until
- * enough is known, it is tried for half of the time: a busy upstream then tells within a second, in place of ten.
+ * The other number of slots is tried for a twentieth of the time, which costs 0.5 % of the capacity where it gains nothing. Until enough runs
+ * are known, it is tried for half of the time: a busy upstream then has enough within one second instead of ten.
  */
-const TRIED_EVERY_MS = 2000;
-const FIRST_TRIED_EVERY_MS = 200;
-const TRIED_FOR_MS = 100;
+const TRIAL_INTERVAL_MS = 2000;
+const INITIAL_TRIAL_INTERVAL_MS = 200;
+const TRIAL_DURATION_MS = 100;
 
 interface Mean {
   ms: number;
   runs: number;
 }
 
-/** Times of the runs of one route. */
+/** Mean run durations of one route. */
 interface RouteTimes {
-  readonly partly: Mean;
+  readonly partial: Mean;
   readonly full: Mean;
 }
 
-/** What the runs of one upstream tell. */
+/** Measures the runs of one upstream. */
 export class FullLoad {
   private readonly routes = new Map<string, RouteTimes>();
-  private share = 1;
+  private slotsRatio = 1;
 
   constructor(private readonly clock: Clock) {}
 
-  /** The share of its slots to use now. */
-  get usableShare(): number {
-    return this.share;
+  /** Ratio of the announced slots to use now. */
+  get usableRatio(): number {
+    return this.slotsRatio;
   }
 
   /**
-   * A run ended that began with such a share of the slots in use, and took so long. Only for runs that made no calls: the time of others is that
-   * of what they called.
+   * Records a run by the utilisation (`share`) at its start and its duration. Only for runs that made no calls: the duration of others depends
+   * on the services that they called.
    */
-  ran(route: string, share: number, ms: number): void {
+  recordRun(route: string, share: number, ms: number): void {
     const times = this.timesOf(route);
-    if (share >= FULL_FROM) add(times.full, ms);
-    else if (share >= PARTLY_FROM) add(times.partly, ms);
+    if (share >= FULL_UTILISATION) add(times.full, ms);
+    else if (share >= PARTIAL_UTILISATION) add(times.partial, ms);
     else return;
-    const factor = this.factorWhenFull();
-    const triedEvery = factor === undefined ? FIRST_TRIED_EVERY_MS : TRIED_EVERY_MS;
-    const isTrial = this.clock.now() % triedEvery < TRIED_FOR_MS;
-    const isSlower = (factor ?? 1) > TELLING_FACTOR;
-    this.share = isSlower === isTrial ? 1 : SHARE_BELOW_FULL;
+    const factor = this.slowdownWhenFull();
+    const intervalMs = factor === undefined ? INITIAL_TRIAL_INTERVAL_MS : TRIAL_INTERVAL_MS;
+    const isTrial = this.clock.now() % intervalMs < TRIAL_DURATION_MS;
+    const isSlower = (factor ?? 1) > MAX_SLOWDOWN;
+    this.slotsRatio = isSlower === isTrial ? 1 : REDUCED_SLOTS_RATIO;
   }
 
-  /** How much longer the same runs take when it is nearly full; undefined if not enough is known. */
-  private factorWhenFull(): number | undefined {
+  /** Ratio of run durations when full to those when partly utilised; undefined if there are too few runs. */
+  private slowdownWhenFull(): number | undefined {
     let partlyMs = 0;
     let fullMs = 0;
-    for (const { partly, full } of this.routes.values()) {
-      if (Math.min(partly.runs, full.runs) < TELLING_RUNS) continue;
+    for (const { partial: partly, full } of this.routes.values()) {
+      if (Math.min(partly.runs, full.runs) < MIN_RUNS) continue;
       const runs = partly.runs + full.runs;
       partlyMs += runs * partly.ms;
       fullMs += runs * full.ms;
@@ -82,7 +83,7 @@
   private timesOf(route: string): RouteTimes {
     let times = this.routes.get(route);
     if (!times) {
-      times = { partly: { ms: 0, runs: 0 }, full: { ms: 0, runs: 0 } };
+      times = { partial: { ms: 0, runs: 0 }, full: { ms: 0, runs: 0 } };
       this.routes.set(route, times);
     }
     return times;
@@ -91,5 +92,5 @@
 
 function add(mean: Mean, ms: number): void {
   mean.runs++;
-  mean.ms += (ms - mean.ms) * Math.max(WEIGHT, 1 / mean.runs);
+  mean.ms += (ms - mean.ms) * Math.max(MEAN_WEIGHT, 1 / mean.runs);
 }
--- a/packages/clock/src/forwardTime.ts
+++ b/packages/clock/src/forwardTime.ts
@@ -1,27 +1,27 @@
-/** Time that goes on while the VM is suspended, whatever its clocks tell of that. */
+/** Elapsed time that includes suspensions of the VM, even where the monotonic clock misses them. */
 import { type Clock } from './clock.js';
 
 /**
- * Goes on with whichever clock went on more since it was last looked at, and never back. For what has to be over in time: a time of day that is set forward
- * ends it too soon, and nothing ends it too late.
+ * Advances by the larger advance of the monotonic and the wall clock since the last reading, and never goes back. For time limits that must not be
+ * exceeded: setting the wall clock forward ends them early, and nothing ends them late.
  */
 export class ForwardTime {
-  private time = 0;
-  private steady: number;
-  private date: number;
+  private elapsedMs = 0;
+  private lastMonotonic: number;
+  private lastDate: number;
 
   constructor(private readonly clock: Clock) {
-    this.steady = clock.now();
-    this.date = clock.date().getTime();
+    this.lastMonotonic = clock.now();
+    this.lastDate = clock.date().getTime();
   }
 
-  /** ms; only differences mean anything. */
+  /** Elapsed time, ms; only differences are meaningful. */
   now(): number {
-    const steady = this.clock.now();
+    const monotonic = this.clock.now();
     const date = this.clock.date().getTime();
-    this.time += Math.max(0, steady - this.steady, date - this.date);
-    this.steady = steady;
-    this.date = date;
-    return this.time;
+    this.elapsedMs += Math.max(0, monotonic - this.lastMonotonic, date - this.lastDate);
+    this.lastMonotonic = monotonic;
+    this.lastDate = date;
+    return this.elapsedMs;
   }
 }
--- a/packages/routes/src/weightedSplit.ts
+++ b/packages/routes/src/weightedSplit.ts
@@ -1,50 +1,50 @@
-/** Shares requests over services by weight. */
+/** Splits requests among services by weight. */
 import { type Random } from '@cleatquay/clock';
 
-/** One share of a route. */
+/** One service of a split, with its weight. */
 export interface RoutePart {
   readonly service: string;
   readonly weight: number;
 }
 
-interface Share extends RoutePart {
-  /** How far the share is behind what it is due, in units of weight. */
-  due: number;
+interface WeightedPart extends RoutePart {
+  /** How far the service is behind its proportion of the requests, in units of weight. */
+  deficit: number;
 }
 
 /**
- * Smooth weighted round robin: after any number of requests each share is within one request of what it is due. Starts
- * at a random place, so that many daemons with few requests each keep the weights together.
+ * Smooth weighted round robin: after any number of requests, each service is within one request of its exact ratio. Starts
+ * at a random position, so that many daemons with few requests each keep the ratios in total.
  */
 export class WeightedSplit {
-  private readonly shares: Share[];
-  private readonly total: number;
+  private readonly weightedParts: WeightedPart[];
+  private readonly totalWeight: number;
 
   constructor(
     readonly parts: readonly RoutePart[],
     random: Random,
   ) {
-    this.total = parts.reduce((sum, { weight }) => sum + weight, 0);
-    this.shares = parts.map(part => ({ ...part, due: 0 }));
-    const skipped = Math.floor(random() * this.total);
+    this.totalWeight = parts.reduce((sum, { weight }) => sum + weight, 0);
+    this.weightedParts = parts.map(part => ({ ...part, deficit: 0 }));
+    const skipped = Math.floor(random() * this.totalWeight);
     if (parts.length > 1) for (let i = 0; i < Math.min(skipped, 1000); i++) this.next();
   }
 
-  /** The service of the next request; undefined if nothing has weight. */
+  /** Selects the service for the next request; undefined if no service has a positive weight. */
   next(): string | undefined {
-    if (this.shares.length === 1) return this.shares[0]?.service;
-    let best: Share | undefined;
-    for (const share of this.shares) {
+    if (this.weightedParts.length === 1) return this.weightedParts[0]?.service;
+    let best: WeightedPart | undefined;
+    for (const share of this.weightedParts) {
       if (share.weight <= 0) continue;
-      share.due += share.weight;
-      if (!best || share.due > best.due) best = share;
+      share.deficit += share.weight;
+      if (!best || share.deficit > best.deficit) best = share;
     }
-    if (best) best.due -= this.total;
+    if (best) best.deficit -= this.totalWeight;
     return best?.service;
   }
 
-  /** Whether it shares requests just so. */
-  fits(parts: readonly RoutePart[]): boolean {
+  /** Whether services and weights are the same as `parts`. */
+  hasParts(parts: readonly RoutePart[]): boolean {
     return (
       parts.length === this.parts.length &&
       parts.every((p, i) => p.service === this.parts[i]?.service && p.weight === this.parts[i]?.weight)
