--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins for what surrounds the system: the platform and the upstreams. */
+/** Stand-ins (simulated external systems) for the platform and the upstreams. */
 export { StoreStandin, type StoreFaults } from './storeStandin.js';
 export { UpstreamStandin, type UpstreamBehaviour, type UpstreamIdentity } from './upstreamStandin.js';
 export { type Effect, Ledger, readLedger } from './ledger.js';
--- a/packages/standins/src/ledger.ts
+++ b/packages/standins/src/ledger.ts
@@ -1,25 +1,25 @@
-/** What an upstream really did, kept in a file that outlives it, to be compared with what callers were told. */
+/** Records the requests that an upstream ran in a file that survives its crash, for comparison with the responses that callers got. */
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
 
-/** One run of a request, with what came of it. */
+/** One execution of a request. */
 export interface Effect {
-  /** The caller's own name for the request, from the `x-token` header. */
+  /** Identifies the request at its caller; from the `x-token` header. */
   readonly token: string;
   readonly route: string;
   readonly requestId: string;
-  /** True when the run got as far as its effect. */
+  /** Whether the execution reached its effect. */
   readonly done: boolean;
 }
 
 type LedgerLine = Omit<Effect, 'done'> & { readonly run: number; readonly event: 'started' | 'done' };
 
-/** Appends to a ledger file; without one, nothing is kept. */
+/** Appends to a ledger file, or discards everything if there is none. */
 export class Ledger {
   private runs = 0;
 
   constructor(private readonly path: string | undefined) {}
 
-  /** A run starts; call the result at its effect. */
+  /** Records the start of an execution; the returned function records its effect. */
   started(run: Omit<Effect, 'done'>): () => void {
     const number = ++this.runs;
     this.write({ ...run, run: number, event: 'started' });
@@ -31,7 +31,7 @@
   }
 }
 
-/** The runs of a ledger file; a last line that was cut off by a kill is left out. */
+/** Reads the executions in a ledger file; ignores a last line that was truncated when the process was killed. */
 export function readLedger(path: string): Effect[] {
   if (!existsSync(path)) return [];
   const text = readFileSync(path, 'utf8');
--- a/packages/standins/src/loopbackProxy.ts
+++ b/packages/standins/src/loopbackProxy.ts
@@ -1,10 +1,10 @@
-/** A TCP proxy on loopback between a process and what it is connected to, with the faults of a network. */
+/** A TCP proxy on loopback that simulates network faults between a process and a server. */
 import { type AddressInfo, type Server, type Socket, connect, createServer } from 'node:net';
 
-/** What it does with connections that are opened from now on. */
+/** How new connections are handled. */
 export type ProxyMode = 'pass' | 'reset';
 
-/** Passes connections on, until it is told otherwise. */
+/** Forwards connections unless a fault is injected. */
 export class LoopbackProxy implements AsyncDisposable {
   mode: ProxyMode = 'pass';
   private readonly open = new Set<Socket>();
@@ -14,7 +14,7 @@
     this.server = createServer(socket => this.handleConnection(socket));
   }
 
-  /** Listens in front of ip:port. */
+  /** Listens, and forwards to ip:port. */
   static async start(target: string): Promise<LoopbackProxy> {
     const [host = '', port] = target.split(':');
     const proxy = new LoopbackProxy({ host, port: Number(port) });
@@ -27,7 +27,7 @@
     return `127.0.0.1:${String((this.server.address() as AddressInfo).port)}`;
   }
 
-  /** Open connections carry nothing any more, either way, and stay open; new ones work. */
+  /** Open connections stop carrying data in both directions but stay open; new ones work. */
   silence(): void {
     for (const socket of this.open) {
       socket.unpipe();
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Resets what is open, and whatever is opened until the mode is set back. */
+  /** Resets open connections, and new ones until the mode is set to `pass`. */
   reset(): void {
     this.mode = 'reset';
     for (const socket of this.open) socket.resetAndDestroy();
--- a/packages/standins/src/platform/storeOfPlatform.ts
+++ b/packages/standins/src/platform/storeOfPlatform.ts
@@ -1,17 +1,17 @@
-/** The store of the users' platform in memory: rows with versions, conditional transactions, a feed, and its faults. */
+/** In-memory store of the users' platform: versioned rows, conditional transactions, a change feed, and simulated faults. */
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import { type AddressInfo } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 
-/** What is wrong with the store just now. */
+/** Faults that are active now. */
 export interface PlatformStoreFaults {
-  /** How it fails to answer: an error status, a reset, or silence. */
+  /** How calls fail: with an error status, with a reset, or without any response. */
   down: 'no' | 503 | 429 | 'reset' | 'silent';
-  /** Added to every answer, ms. */
+  /** Added to the time of every response. */
   delayMs: number;
-  /** Share of writes that take effect while their answer is lost, 0 to 1. */
+  /** Ratio of writes that take effect but whose response is lost, 0 to 1. */
   loseAnswers: number;
-  /** Writes get no answer and take effect so much later, ms, if their condition still holds; 0 for none. */
+  /** Delay after which writes take effect if their condition still holds; they get no response. 0 disables this fault. */
   lateWritesMs: number;
 }
 
@@ -33,10 +33,10 @@
 const rowId = ({ table, part, key }: { table: string; part: string; key: string }) =>
   [table, part, key].join('\n');
 
-/** The store behind HTTP. */
+/** Serves the store over HTTP. */
 export class PlatformStoreStandin implements AsyncDisposable {
   readonly faults: PlatformStoreFaults = { down: 'no', delayMs: 0, loseAnswers: 0, lateWritesMs: 0 };
-  /** Calls by path, answered or not. */
+  /** Number of calls received for each path. */
   readonly calls = new Map<string, number>();
   private readonly rows = new Map<string, Row>();
   private history: Row[] = [];
@@ -51,7 +51,7 @@
     });
   }
 
-  /** Listens and gives ip:port. */
+  /** Listens, and returns ip:port. */
   async listen(): Promise<string> {
     await new Promise<void>(resolve => this.server.listen(0, '127.0.0.1', resolve));
     return `127.0.0.1:${String((this.server.address() as AddressInfo).port)}`;
@@ -63,23 +63,23 @@
     await new Promise(resolve => this.server.close(resolve));
   }
 
-  /** Writes a row of the unnamed part, as the operator does. */
+  /** Writes a row of the unnamed part. */
   put(table: string, key: string, text: string): void {
     this.apply({ puts: [{ table, part: '', key, value: Buffer.from(text).toString('base64') }] });
   }
 
-  /** The text of a row of the unnamed part. */
+  /** Returns the decoded value of a row of the unnamed part. */
   text(table: string, key: string): string | undefined {
     const row = this.rows.get(rowId({ table, part: '', key }));
     return row && Buffer.from(row.value, 'base64').toString('utf8');
   }
 
-  /** Removes a row, as if its entry had lapsed. */
+  /** Removes a row, as if it had expired. */
   drop(table: string, key: string): void {
     this.apply({ remove: [{ table, part: '', key }] });
   }
 
-  /** Discards the history; feeds that ask for it hear 410. */
+  /** Discards the history; feed requests for it get status 410. */
   discardHistory(): void {
     this.history = [];
     this.historyStart = this.version;
--- a/packages/standins/src/platform/upstreamOfPlatform.ts
+++ b/packages/standins/src/platform/upstreamOfPlatform.ts
@@ -1,4 +1,4 @@
-/** An upstream of the users' platform: announces itself to its daemon, runs requests in slots, and has faults. */
+/** A simulated upstream of the users' platform: announces itself to its daemon, runs requests in slots, and injects faults. */
 import {
   Agent,
   type IncomingMessage,
@@ -11,70 +11,70 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Semaphore } from '../slots.js';
 
-/** What it does wrong to a request. */
+/** Fault to inject for a request. */
 export type UpstreamFault =
   | 'none'
-  /** Runs the request and closes the connection. */
+  /** Runs the request, and closes the connection without a response. */
   | 'lose-answer'
-  /** Runs it and breaks the answer off in its middle. */
+  /** Runs it, and truncates the response. */
   | 'cut-answer'
-  /** Runs it, and answers without a length by the end of the connection, which is reset. */
+  /** Runs it, and resets the connection in the middle of a close-delimited response. */
   | 'reset-unframed'
-  /** Runs it, and closes the connection in the middle of an answer without a length. */
+  /** Runs it, and closes the connection in the middle of a close-delimited response. */
   | 'cut-unframed'
-  /** Answers without a length, as the whole of its connection. */
+  /** Sends a complete close-delimited response. */
   | 'unframed'
-  /** Answers twice, the second time late, where the next answer is expected. */
+  /** Responds twice; the second response comes late, where that of the next request is expected. */
   | 'answer-twice'
-  /** Sends bytes that are no answer. */
+  /** Sends bytes that are not an HTTP response. */
   | 'garble'
-  /** Says that it did not run the request. */
+  /** Refuses the request, and reports that it did not run it. */
   | 'shed'
-  /** Says that another instance has the address. */
+  /** Reports that another instance has the address. */
   | 'other-instance'
-  /** Resets the connection before it reads the request. */
+  /** Resets the connection before reading the request. */
   | 'reset-first'
-  /** Ends with all that it runs some time after it has begun the request, and starts again later as another instance. */
+  /** Crashes with all requests in flight some time after the start of this one, and restarts later as another instance. */
   | 'end';
 
-/** A call that it makes while it runs a request. */
+/** A call to another service during a request. */
 export interface UpstreamCall {
   readonly host: string;
   readonly path: string;
 }
 
-/** Who it is and how it behaves; may be changed while it runs. */
+/** Simulated behaviour; may be changed at run time. */
 export interface PlatformUpstreamBehaviour {
   slots: number;
   workMs: number;
   bytes: number;
   calls: readonly UpstreamCall[];
-  /** Gives the fault of a request. */
+  /** Selects the fault for a request. */
   fault: (requestId: string, path: string) => UpstreamFault;
-  /** How long a request that ends it runs before, ms. */
+  /** Time from the start of a query of death to the crash. */
   crashDelayMs: number;
-  /** How long it is away then, ms. */
+  /** Time from a crash to the restart. */
   awayMs: number;
-  /** What it names in all its answers as the requests a second that it takes; nothing if undefined. */
+  /** Requests a second that it reports as its limit in all responses; no limit if undefined. */
   rateLimit: string | string[] | undefined;
-  /** Says in all its answers that it leaves, whatever its announcements say. */
+  /** Reports in all responses that it shuts down, regardless of its announcements. */
   saysLeaving: boolean;
 }
 
-/** One request that reached it. */
+/** A request that reached the upstream. */
 export interface ReceivedRequest {
   readonly requestId: string;
   readonly path: string;
   readonly headers: IncomingMessage['headers'];
-  /** When it came, ms of `performance.now()`. */
+  /** Time of receipt by `performance.now()`, ms. */
   readonly at: number;
   ran: boolean;
   ended: boolean;
 }
 
-/** One end of it, by a request that it ran. */
+/** A simulated crash, and the request that caused it. */
 export interface SimulatedCrash {
-  /** When it ended, ms of `performance.now()`. */
+  /** Time of the crash by `performance.now()`, ms. */
   readonly at: number;
   readonly requestId: string;
 }
@@ -91,11 +91,9 @@
   saysLeaving: false,
 };
 
-/** A running upstream. */
 export class PlatformUpstreamStandin implements AsyncDisposable {
   readonly behaviour: PlatformUpstreamBehaviour;
   readonly arrivals: ReceivedRequest[] = [];
-  /** Ends by requests that it ran. */
   readonly ends: SimulatedCrash[] = [];
   private server: Server;
   private readonly slots = new Semaphore(() => this.behaviour.slots);
@@ -111,7 +109,7 @@
   constructor(
     private readonly name: string,
     readonly service: string,
-    /** ip:port at which its daemon takes announcements, and calls. */
+    /** ip:port at which its daemon accepts announcements, and calls. */
     private readonly daemon: { readonly announcements: string; readonly callers: string },
     behaviour: Partial<PlatformUpstreamBehaviour> = {},
   ) {
@@ -119,12 +117,12 @@
     this.server = this.createHttpServer();
   }
 
-  /** Names this start of it. */
+  /** Instance id, which differs for each process start. */
   get instanceId(): string {
     return this.starts === 1 ? this.name : `${this.name}-${String(this.starts)}`;
   }
 
-  /** Listens; `announce` makes it known. */
+  /** Listens, without announcing itself. */
   async listen(port = 0): Promise<void> {
     await new Promise<void>(resolve => this.server.listen(port, '127.0.0.1', resolve));
     this.address = `127.0.0.1:${String((this.server.address() as AddressInfo).port)}`;
@@ -136,7 +134,7 @@
     await new Promise(resolve => this.server.close(resolve));
   }
 
-  /** Announces itself once; gives the status of the daemon's answer. */
+  /** Announces itself once, and returns the status of the daemon's response. */
   async announce(change: Record<string, unknown> = {}): Promise<number> {
     const { slots } = this.behaviour;
     const body = {
@@ -153,7 +151,7 @@
     return this.postAnnouncement('heartbeat', JSON.stringify(body));
   }
 
-  /** Announces itself again and again until it is disposed of. */
+  /** Announces itself periodically until it is disposed of. */
   keepAnnouncing(everyMs: number): void {
     this.isAnnouncing = true;
     this.heartbeatMs = everyMs;
@@ -166,12 +164,12 @@
     void again();
   }
 
-  /** Announces itself no more by itself. */
+  /** Stops the periodic announcements. */
   stopAnnouncing(): void {
     this.isAnnouncing = false;
   }
 
-  /** Ends as a process does: whatever is open is reset, and nothing listens. It starts again later, as another instance. */
+  /** Simulates a crash: closes all connections and the listener, and restarts later as another instance. */
   async end(requestId = ''): Promise<void> {
     if (!this.server.listening) return;
     this.ends.push({ at: performance.now(), requestId });
@@ -189,13 +187,13 @@
     if (this.heartbeatMs > 0) this.keepAnnouncing(this.heartbeatMs);
   }
 
-  /** Says that it leaves. */
+  /** Announces its shutdown. */
   leave(): Promise<number> {
     this.isLeaving = true;
     return this.postAnnouncement('leave', '');
   }
 
-  /** How often the request ran. */
+  /** Number of times that the request ran. */
   countRuns(requestId: string): number {
     return this.arrivals.filter(arrival => arrival.requestId === requestId && arrival.ran).length;
   }
@@ -280,7 +278,7 @@
       case 'unframed':
         return void socket.end(`${head}Connection: close\r\n\r\n${text}`);
       case 'garble':
-        return void socket.end('these bytes are no answer\r\n\r\n');
+        return void socket.end('not an HTTP response\r\n\r\n');
       case 'answer-twice':
         this.write(response, 200, requestId, text);
         return void setTimeout(() => socket.writable && socket.write(framed + text), 30);
@@ -307,7 +305,7 @@
     response.end(text);
   }
 
-  /** What it says of itself in each answer. */
+  /** Headers with which an upstream reports its state in each response. */
   private noticeHeaders(): Record<string, string | string[]> {
     const { rateLimit, saysLeaving } = this.behaviour;
     return {
--- a/packages/standins/src/slots.ts
+++ b/packages/standins/src/slots.ts
@@ -1,16 +1,16 @@
-/** A counting semaphore whose waiters can leave. */
+/** A counting semaphore with FIFO order whose waiters can be aborted. */
 export class Semaphore {
   private inUse = 0;
   private readonly queue: (() => void)[] = [];
 
   constructor(private readonly size: () => number) {}
 
-  /** How many wait. */
+  /** Number of waiters. */
   get waiting(): number {
     return this.queue.length;
   }
 
-  /** Resolves true with a slot, or false when `signal` aborted first. */
+  /** Resolves true with a permit, or false if `signal` is aborted first. */
   async acquire(signal: AbortSignal): Promise<boolean> {
     if (signal.aborted) return false;
     if (this.inUse < this.size()) {
@@ -29,7 +29,7 @@
     });
   }
 
-  /** Gives a slot back, to the first waiter if there is one. */
+  /** Returns a permit, to the first waiter if there is one. */
   release(): void {
     const next = this.queue.shift();
     if (next) next();
--- a/packages/standins/src/storeStandin.ts
+++ b/packages/standins/src/storeStandin.ts
@@ -1,23 +1,23 @@
-/** The platform's table service and object store in memory, with outages, slowness and lost answers. */
+/** In-memory table service and object store of the platform, with simulated outages, latency and lost responses. */
 import { type CommitResult, type Row, type RowWrite } from '@cleatquay/store';
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import { type AddressInfo } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 
-/** What is wrong with the platform just now. */
+/** Faults that are active now. */
 export interface StoreFaults {
-  /** No answer at all, and nothing takes effect. */
+  /** Requests get no response and have no effect. */
   down: boolean;
-  /** Added to every answer, ms. */
+  /** Added to the time of every response. */
   delayMs: number;
-  /** Share of writes that take effect while their answer is lost, 0 to 1. */
+  /** Ratio of writes that take effect but whose response is lost, 0 to 1. */
   loseAnswers: number;
 }
 
-/** An in-memory platform behind HTTP. */
+/** Serves the platform over HTTP. */
 export class StoreStandin implements AsyncDisposable {
   readonly faults: StoreFaults = { down: false, delayMs: 0, loseAnswers: 0 };
-  /** Requests seen, for measurements. */
+  /** Requests received. */
   readonly counts = { reads: 0, writes: 0 };
   private readonly rows = new Map<string, Row>();
   private readonly objects = new Map<string, string>();
@@ -29,7 +29,7 @@
     });
   }
 
-  /** Listens and gives the URL. */
+  /** Listens, and returns the URL. */
   async listen(port = 0): Promise<string> {
     await new Promise<void>(resolve => this.server.listen(port, '127.0.0.1', resolve));
     return `http://127.0.0.1:${String((this.server.address() as AddressInfo).port)}`;
--- a/packages/standins/src/upstreamMain.ts
+++ b/packages/standins/src/upstreamMain.ts
@@ -8,11 +8,11 @@
 const argv = await yargs(hideBin(process.argv))
   .options({
     service: { type: 'string', demandOption: true },
-    file: { type: 'string', demandOption: true, describe: "the operators' file" },
+    file: { type: 'string', demandOption: true, describe: "the operator's file" },
     callerUrl: { type: 'string', demandOption: true },
     operatorUrl: { type: 'string', demandOption: true },
     behaviour: { type: 'string', default: '{}', describe: 'JSON, see UpstreamBehaviour' },
-    ledgerPath: { type: 'string', describe: 'file to note runs in' },
+    ledgerPath: { type: 'string', describe: 'ledger file to record executions in' },
     seed: { type: 'string', default: '1' },
   })
   .strict()
--- a/packages/standins/src/upstreamStandin.ts
+++ b/packages/standins/src/upstreamStandin.ts
@@ -1,6 +1,6 @@
 /**
- * An upstream: slots, a backlog of its own, service times, cold start, shedding, draining, cancellation,
- * deadlines, and calls to deeper services through its own daemon.
+ * A simulated upstream with concurrency slots, a backlog, service times, cold start, load shedding, draining,
+ * cancellation, deadlines, and calls to downstream services through its local daemon.
  */
 import { type Random } from '@cleatquay/clock';
 import { CallGraph, type OperatorFile, type Route } from '@cleatquay/settings';
@@ -15,39 +15,39 @@
 const CHILD_CONNECTIONS = 512;
 const DEFAULT_CONNECTIONS = 1000;
 
-/** Who the upstream is and which daemon stands beside it. */
+/** Identity of the upstream, and its local daemon. */
 export interface UpstreamIdentity {
   readonly service: string;
   readonly file: OperatorFile;
-  /** URL of its daemon for callers. */
+  /** URL of its daemon's caller API. */
   readonly callerUrl: string;
-  /** URL of its daemon for operators and announcements. */
+  /** URL of its daemon's operator API, which also accepts announcements. */
   readonly operatorUrl: string;
-  /** Where it notes what it ran; nowhere unless given. */
+  /** Ledger file for executed requests, if any. */
   readonly ledgerPath?: string | undefined;
 }
 
-/** How it behaves; may be changed while it runs. */
+/** Simulated behaviour; may be changed at run time. */
 export interface UpstreamBehaviour {
   slots: number;
-  /** Mean service time, ms. */
+  /** Mean service time. */
   serviceMs: number;
-  /** How service times spread around their mean. */
+  /** Distribution of service times. */
   serviceTimes: 'exponential' | 'constant';
-  /** Work beyond slots and this backlog is refused with 503. */
+  /** Requests beyond the slots and this backlog are refused with 503. */
   backlog: number;
-  /** The first answers after a start take longer by this factor, falling to 1 over `coldMs`. */
+  /** Factor on service times at the start, which falls to 1 over `coldMs`. */
   coldFactor: number;
   coldMs: number;
-  /** Times every service time; set during an experiment to slow it down. */
+  /** Factor on all service times, to simulate a slowdown. */
   slowFactor: number;
   /** Announces itself as draining. */
   draining: boolean;
-  /** Announced slots; 0 tells the truth. */
+  /** Slots to announce instead of the real number; 0 for the real number. */
   claimedSlots: number;
-  /** What it names in all its answers as the requests a second that it takes; nothing if empty. */
+  /** Requests a second that it reports as its limit in all responses; no limit if empty. */
   rateLimit: string;
-  /** Says in all its answers that it leaves, whatever it announces. */
+  /** Reports in all responses that it shuts down, regardless of its announcements. */
   saysLeaving: boolean;
 }
 
@@ -65,18 +65,16 @@
   saysLeaving: false,
 };
 
-/** One request being run. */
 interface RunningRequest {
   readonly route: Route;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly token: string;
   readonly requestId: string;
-  /** Aborts when nobody waits for the answer any more. */
+  /** Aborted when the client disconnects. */
   readonly disconnected: AbortSignal;
 }
 
-/** A running stand-in upstream. */
 export class UpstreamStandin implements AsyncDisposable {
   readonly behaviour: UpstreamBehaviour;
   private readonly ledger: Ledger;
@@ -106,7 +104,7 @@
     });
   }
 
-  /** Listens, announces itself, and gives its address. */
+  /** Listens, announces itself periodically, and returns its address. */
   async listen(port = 0): Promise<string> {
     await new Promise<void>(resolve => this.server.listen(port, '127.0.0.1', 1024, resolve));
     const address = `127.0.0.1:${String((this.server.address() as AddressInfo).port)}`;
@@ -170,7 +168,7 @@
     }
   }
 
-  /** What it says of itself in each answer. */
+  /** Sets the headers with which an upstream reports its state in each response. */
   private setNoticeHeaders(response: ServerResponse): void {
     const { rateLimit, saysLeaving } = this.behaviour;
     if (rateLimit !== '') response.setHeader('cleatquay-rate-limit', rateLimit);
@@ -201,7 +199,7 @@
     const isWhole = children.every(child => child !== undefined);
     if (disconnected.aborted) return this.recordWork(ms, false);
     this.recordWork(ms, isWhole);
-    if (!isWhole) return writeJson(response, 502, { error: 'a deeper call failed', token });
+    if (!isWhole) return writeJson(response, 502, { error: 'a downstream call failed', token });
     done();
     const size = Number(new URL(request.url ?? '/', 'http://u').searchParams.get('size') ?? 0);
     writeJson(response, 200, { token, route: route.name, received, children, filler: 'x'.repeat(size) });
@@ -231,7 +229,7 @@
     return answers;
   }
 
-  /** One deeper call through this upstream's own daemon; undefined when it failed. */
+  /** Calls a downstream service through the local daemon; undefined if the call fails. */
   private async callChild(
     child: Route,
     key: string,
