--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,14 +1,14 @@
-/** Small stand-ins for what surrounds the system: the platform and the upstreams. */
+/** Stand-ins (simulated external systems) for the platform and the upstreams. */
 export { StoreStandin, type StoreFaults } from './storeStandin.js';
 export { UpstreamStandin, type UpstreamBehaviour, type UpstreamIdentity } from './upstreamStandin.js';
 export { type Effect, Ledger, readLedger } from './ledger.js';
 export { PlatformStoreStandin, type PlatformStoreFaults } from './platform/storeOfPlatform.js';
 export {
-  type Arrival,
+  type ReceivedRequest,
   type PlatformUpstreamBehaviour,
   PlatformUpstreamStandin,
   type UpstreamCall,
-  type UpstreamEnd,
+  type SimulatedCrash,
   type UpstreamFault,
 } from './platform/upstreamOfPlatform.js';
 export { LoopbackProxy, type ProxyMode } from './loopbackProxy.js';
--- a/packages/standins/src/platform/upstreamOfPlatform.ts
+++ b/packages/standins/src/platform/upstreamOfPlatform.ts
@@ -1,4 +1,4 @@
-/** An upstream of the users' platform: announces itself to its daemon, runs requests in slots, and has faults. */
+/** A simulated upstream of the users' platform: announces itself to its daemon, runs requests in slots, and injects faults. */
 import {
   Agent,
   type IncomingMessage,
@@ -9,72 +9,72 @@
 } from 'node:http';
 import { type AddressInfo } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { Slots } from '../slots.js';
+import { Semaphore } from '../slots.js';
 
-/** What it does wrong to a request. */
+/** Fault to inject for a request. */
 export type UpstreamFault =
   | 'none'
-  /** Runs the request and closes the connection. */
-  | 'lose-answer'
-  /** Runs it and breaks the answer off in its middle. */
-  | 'cut-answer'
-  /** Runs it, and answers without a length by the end of the connection, which is reset. */
-  | 'reset-unframed'
-  /** Runs it, and closes the connection in the middle of an answer without a length. */
-  | 'cut-unframed'
-  /** Answers without a length, as the whole of its connection. */
-  | 'unframed'
-  /** Answers twice, the second time late, where the next answer is expected. */
-  | 'answer-twice'
-  /** Sends bytes that are no answer. */
-  | 'garble'
-  /** Says that it did not run the request. */
+  /** Runs the request, and closes the connection without a response. */
+  | 'drop-response'
+  /** Runs it, and truncates the response. */
+  | 'truncate-response'
+  /** Runs it, and resets the connection in the middle of a close-delimited response. */
+  | 'reset-close-delimited'
+  /** Runs it, and closes the connection in the middle of a close-delimited response. */
+  | 'truncate-close-delimited'
+  /** Sends a complete close-delimited response. */
+  | 'close-delimited'
+  /** Responds twice; the second response comes late, where that of the next request is expected. */
+  | 'respond-twice'
+  /** Sends bytes that are not an HTTP response. */
+  | 'invalid-response'
+  /** Refuses the request, and reports that it did not run it. */
   | 'shed'
-  /** Says that another instance has the address. */
+  /** Reports that another instance has the address. */
   | 'other-instance'
-  /** Resets the connection before it reads the request. */
-  | 'reset-first'
-  /** Ends with all that it runs some time after it has begun the request, and starts again later as another instance. */
+  /** Resets the connection before reading the request. */
+  | 'reset-before-request'
+  /** Crashes with all requests in flight some time after the start of this one, and restarts later as another instance. */
   | 'end';
 
-/** A call that it makes while it runs a request. */
+/** A call to another service during a request. */
 export interface UpstreamCall {
   readonly host: string;
   readonly path: string;
 }
 
-/** Who it is and how it behaves; may be changed while it runs. */
+/** Simulated behaviour; may be changed at run time. */
 export interface PlatformUpstreamBehaviour {
   slots: number;
   workMs: number;
   bytes: number;
   calls: readonly UpstreamCall[];
-  /** Gives the fault of a request. */
+  /** Selects the fault for a request. */
   fault: (requestId: string, path: string) => UpstreamFault;
-  /** How long a request that ends it runs before, ms. */
-  endsAfterMs: number;
-  /** How long it is away then, ms. */
+  /** Time from the start of a query of death to the crash. */
+  crashDelayMs: number;
+  /** Time from a crash to the restart. */
   awayMs: number;
-  /** What it names in all its answers as the requests a second that it takes; nothing if undefined. */
+  /** Requests a second that it reports as its limit in all responses; no limit if undefined. */
   rateLimit: string | string[] | undefined;
-  /** Says in all its answers that it leaves, whatever its announcements say. */
+  /** Reports in all responses that it shuts down, regardless of its announcements. */
   saysLeaving: boolean;
 }
 
-/** One request that reached it. */
-export interface Arrival {
+/** A request that reached the upstream. */
+export interface ReceivedRequest {
   readonly requestId: string;
   readonly path: string;
   readonly headers: IncomingMessage['headers'];
-  /** When it came, ms of `performance.now()`. */
+  /** Time of receipt by `performance.now()`, ms. */
   readonly at: number;
   ran: boolean;
   ended: boolean;
 }
 
-/** One end of it, by a request that it ran. */
-export interface UpstreamEnd {
-  /** When it ended, ms of `performance.now()`. */
+/** A simulated crash, and the request that caused it. */
+export interface SimulatedCrash {
+  /** Time of the crash by `performance.now()`, ms. */
   readonly at: number;
   readonly requestId: string;
 }
@@ -85,20 +85,18 @@
   bytes: 200,
   calls: [],
   fault: () => 'none',
-  endsAfterMs: 55,
+  crashDelayMs: 55,
   awayMs: 2500,
   rateLimit: undefined,
   saysLeaving: false,
 };
 
-/** A running upstream. */
 export class PlatformUpstreamStandin implements AsyncDisposable {
   readonly behaviour: PlatformUpstreamBehaviour;
-  readonly arrivals: Arrival[] = [];
-  /** Ends by requests that it ran. */
-  readonly ends: UpstreamEnd[] = [];
+  readonly arrivals: ReceivedRequest[] = [];
+  readonly ends: SimulatedCrash[] = [];
   private server: Server;
-  private readonly slots = new Slots(() => this.behaviour.slots);
+  private readonly slots = new Semaphore(() => this.behaviour.slots);
   private readonly stopped = new AbortController();
   private isAnnouncing = false;
   private isLeaving = false;
@@ -111,20 +109,20 @@
   constructor(
     private readonly name: string,
     readonly service: string,
-    /** ip:port at which its daemon takes announcements, and calls. */
+    /** ip:port at which its daemon accepts announcements, and calls. */
     private readonly daemon: { readonly announcements: string; readonly callers: string },
     behaviour: Partial<PlatformUpstreamBehaviour> = {},
   ) {
     this.behaviour = { ...DEFAULTS, ...behaviour };
-    this.server = this.makeServer();
+    this.server = this.createHttpServer();
   }
 
-  /** Names this start of it. */
+  /** Instance id, which differs for each process start. */
   get instanceId(): string {
     return this.starts === 1 ? this.name : `${this.name}-${String(this.starts)}`;
   }
 
-  /** Listens; `announce` makes it known. */
+  /** Listens, without announcing itself. */
   async listen(port = 0): Promise<void> {
     await new Promise<void>(resolve => this.server.listen(port, '127.0.0.1', resolve));
     this.address = `127.0.0.1:${String((this.server.address() as AddressInfo).port)}`;
@@ -136,7 +134,7 @@
     await new Promise(resolve => this.server.close(resolve));
   }
 
-  /** Announces itself once; gives the status of the daemon's answer. */
+  /** Announces itself once, and returns the status of the daemon's response. */
   async announce(change: Record<string, unknown> = {}): Promise<number> {
     const { slots } = this.behaviour;
     const body = {
@@ -150,10 +148,10 @@
       sequence: ++this.sequence,
       ...change,
     };
-    return this.post('heartbeat', JSON.stringify(body));
+    return this.postAnnouncement('heartbeat', JSON.stringify(body));
   }
 
-  /** Announces itself again and again until it is disposed of. */
+  /** Announces itself periodically until it is disposed of. */
   keepAnnouncing(everyMs: number): void {
     this.isAnnouncing = true;
     this.heartbeatMs = everyMs;
@@ -166,18 +164,18 @@
     void again();
   }
 
-  /** Announces itself no more by itself. */
+  /** Stops the periodic announcements. */
   stopAnnouncing(): void {
     this.isAnnouncing = false;
   }
 
-  /** Ends as a process does: whatever is open is reset, and nothing listens. It starts again later, as another instance. */
+  /** Simulates a crash: closes all connections and the listener, and restarts later as another instance. */
   async end(requestId = ''): Promise<void> {
     if (!this.server.listening) return;
     this.ends.push({ at: performance.now(), requestId });
     this.isAnnouncing = false;
     const { server } = this;
-    this.server = this.makeServer();
+    this.server = this.createHttpServer();
     const closed = new Promise(resolve => server.close(resolve));
     server.closeAllConnections();
     await closed;
@@ -189,32 +187,32 @@
     if (this.heartbeatMs > 0) this.keepAnnouncing(this.heartbeatMs);
   }
 
-  /** Says that it leaves. */
+  /** Announces its shutdown. */
   leave(): Promise<number> {
     this.isLeaving = true;
-    return this.post('leave', '');
+    return this.postAnnouncement('leave', '');
   }
 
-  /** How often the request ran. */
-  runsOf(requestId: string): number {
-    return this.arrivals.filter(arrival => arrival.requestId === requestId && arrival.ran).length;
+  /** Number of times that the request ran. */
+  countRuns(requestId: string): number {
+    return this.arrivals.filter(received => received.requestId === requestId && received.ran).length;
   }
 
-  private makeServer(): Server {
+  private createHttpServer(): Server {
     return createServer({ keepAliveTimeout: 10_000 }, (request, response) => {
       this.serve(request, response).catch(() => response.destroy());
     });
   }
 
-  private async post(what: string, body: string): Promise<number> {
+  private async postAnnouncement(what: string, body: string): Promise<number> {
     const url = `http://${this.daemon.announcements}/cleatquay/instances/${this.instanceId}/${what}`;
-    const answer = await fetch(url, {
+    const response = await fetch(url, {
       method: 'POST',
       body,
       headers: { 'content-type': 'application/json' },
     });
-    await answer.arrayBuffer();
-    return answer.status;
+    await response.arrayBuffer();
+    return response.status;
   }
 
   private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -223,7 +221,7 @@
       return this.write(response, this.isLeaving ? 503 : 200, requestId, 'health', {
         'Instance-Id': this.instanceId,
       });
-    const arrival: Arrival = {
+    const received: ReceivedRequest = {
       requestId,
       path: request.url ?? '',
       headers: request.headers,
@@ -231,32 +229,32 @@
       ran: false,
       ended: false,
     };
-    this.arrivals.push(arrival);
-    const fault = this.behaviour.fault(requestId, arrival.path);
-    if (fault === 'reset-first') return void request.socket.resetAndDestroy();
+    this.arrivals.push(received);
+    const fault = this.behaviour.fault(requestId, received.path);
+    if (fault === 'reset-before-request') return void request.socket.resetAndDestroy();
     if (fault === 'shed') return this.write(response, 503, requestId, 'full', { 'Not-Executed': '1' });
     const expected = request.headers['expect-instance'];
     if (fault === 'other-instance' || (expected !== undefined && expected !== this.instanceId))
       return this.write(response, 421, requestId, 'other');
-    const gone = new AbortController();
-    response.on('close', () => gone.abort());
-    if (!(await this.slots.take(gone.signal))) return;
+    const disconnect = new AbortController();
+    response.on('close', () => disconnect.abort());
+    if (!(await this.slots.acquire(disconnect.signal))) return;
     try {
-      arrival.ran = true;
-      if (fault === 'end') setTimeout(() => void this.end(requestId), this.behaviour.endsAfterMs);
+      received.ran = true;
+      if (fault === 'end') setTimeout(() => void this.end(requestId), this.behaviour.crashDelayMs);
       for await (const chunk of request) void chunk;
-      if (fault === 'end') await sleep(2 * this.behaviour.endsAfterMs);
-      await sleep(this.behaviour.workMs, undefined, { signal: gone.signal }).catch(() => undefined);
-      const isWhole = await this.callOthers(requestId);
-      arrival.ended = !gone.signal.aborted;
-      if (!isWhole) return this.write(response, 500, requestId, 'a call failed');
-      this.answer(fault, request, response, requestId);
+      if (fault === 'end') await sleep(2 * this.behaviour.crashDelayMs);
+      await sleep(this.behaviour.workMs, undefined, { signal: disconnect.signal }).catch(() => undefined);
+      const allSucceeded = await this.makeCalls(requestId);
+      received.ended = !disconnect.signal.aborted;
+      if (!allSucceeded) return this.write(response, 500, requestId, 'a call failed');
+      this.respond(fault, request, response, requestId);
     } finally {
-      this.slots.give();
+      this.slots.release();
     }
   }
 
-  private answer(
+  private respond(
     fault: UpstreamFault,
     request: IncomingMessage,
     response: ServerResponse,
@@ -267,21 +265,21 @@
     const head = `HTTP/1.1 200 OK\r\nRequest-Id: ${requestId}\r\nServer-Stamp: ${this.instanceId}\r\n`;
     const framed = `${head}Content-Length: ${String(text.length)}\r\n\r\n`;
     switch (fault) {
-      case 'lose-answer':
+      case 'drop-response':
         return void socket.destroy();
-      case 'cut-answer':
+      case 'truncate-response':
         return void socket.end(framed + text.slice(0, text.length / 2));
-      case 'reset-unframed':
+      case 'reset-close-delimited':
         return void socket.write(`${head}Connection: close\r\n\r\n${text.slice(0, text.length / 2)}`, () =>
           setTimeout(() => socket.resetAndDestroy(), 20),
         );
-      case 'cut-unframed':
+      case 'truncate-close-delimited':
         return void socket.end(`${head}Connection: close\r\n\r\n${text.slice(0, text.length / 2)}`);
-      case 'unframed':
+      case 'close-delimited':
         return void socket.end(`${head}Connection: close\r\n\r\n${text}`);
-      case 'garble':
-        return void socket.end('these bytes are no answer\r\n\r\n');
-      case 'answer-twice':
+      case 'invalid-response':
+        return void socket.end('not an HTTP response\r\n\r\n');
+      case 'respond-twice':
         this.write(response, 200, requestId, text);
         return void setTimeout(() => socket.writable && socket.write(framed + text), 30);
       default:
@@ -301,14 +299,14 @@
       'Server-Stamp': this.instanceId,
       'Instance-Id': this.instanceId,
       'Content-Length': String(text.length),
-      ...this.notice(),
+      ...this.noticeHeaders(),
       ...more,
     });
     response.end(text);
   }
 
-  /** What it says of itself in each answer. */
-  private notice(): Record<string, string | string[]> {
+  /** Headers with which an upstream reports its state in each response. */
+  private noticeHeaders(): Record<string, string | string[]> {
     const { rateLimit, saysLeaving } = this.behaviour;
     return {
       ...(rateLimit !== undefined && { 'Server-Limit': rateLimit }),
@@ -316,22 +314,28 @@
     };
   }
 
-  private async callOthers(requestId: string): Promise<boolean> {
+  private async makeCalls(requestId: string): Promise<boolean> {
     for (const { host, path } of this.behaviour.calls) {
       const id = `${requestId}.${String(++this.calls)}`;
-      if ((await callOnce(this.daemon.callers, host, path, id)) !== 200) return false;
+      if ((await sendCall(this.daemon.callers, host, path, id)) !== 200) return false;
     }
     return true;
   }
 }
 
-const AGENT = new Agent({ keepAlive: true });
+const KEEP_ALIVE_AGENT = new Agent({ keepAlive: true });
 
-async function callOnce(daemon: string, host: string, path: string, id: string): Promise<number> {
+async function sendCall(daemon: string, host: string, path: string, id: string): Promise<number> {
   const [ip, port] = daemon.split(':');
   return new Promise(resolve => {
     const call = ask(
-      { host: ip, port, path, agent: AGENT, headers: { host, 'Request-Id': id, 'Deadline-Ms': '2000' } },
+      {
+        host: ip,
+        port,
+        path,
+        agent: KEEP_ALIVE_AGENT,
+        headers: { host, 'Request-Id': id, 'Deadline-Ms': '2000' },
+      },
       response => {
         response.resume();
         response.on('end', () => resolve(response.statusCode ?? 0));
--- a/packages/standins/src/slots.ts
+++ b/packages/standins/src/slots.ts
@@ -1,20 +1,20 @@
-/** A counting semaphore whose waiters can leave. */
-export class Slots {
-  private taken = 0;
+/** A counting semaphore with FIFO order whose waiters can be aborted. */
+export class Semaphore {
+  private inUse = 0;
   private readonly queue: (() => void)[] = [];
 
   constructor(private readonly size: () => number) {}
 
-  /** How many wait. */
+  /** Number of waiters. */
   get waiting(): number {
     return this.queue.length;
   }
 
-  /** Resolves true with a slot, or false when `signal` aborted first. */
-  async take(signal: AbortSignal): Promise<boolean> {
+  /** Resolves true with a permit, or false if `signal` is aborted first. */
+  async acquire(signal: AbortSignal): Promise<boolean> {
     if (signal.aborted) return false;
-    if (this.taken < this.size()) {
-      this.taken++;
+    if (this.inUse < this.size()) {
+      this.inUse++;
       return true;
     }
     return new Promise(resolve => {
@@ -29,10 +29,10 @@
     });
   }
 
-  /** Gives a slot back, to the first waiter if there is one. */
-  give(): void {
+  /** Returns a permit, to the first waiter if there is one. */
+  release(): void {
     const next = this.queue.shift();
     if (next) next();
-    else this.taken--;
+    else this.inUse--;
   }
 }
--- a/tests/platformTruth.spec.ts
+++ b/tests/platformTruth.spec.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { PlatformFleet, configurationText, routeTo, until } from './fixtures/platformFleet.js';
 
-const PROMISES = [408, 421, 429, 503];
+const NOT_RUN_STATUSES = [408, 421, 429, 503];
 const SERVICES = ['receiving', 'receiving', 'receiving'];
 
 const ROUTES = [
@@ -16,7 +16,7 @@
   routeTo('receiving', { name: 'read', host: 'read.example', maxAttempts: 3 }),
 ];
 
-describe('what callers on the platform are told', () => {
+describe('the response to a caller on the platform', () => {
   let fleet: PlatformFleet;
 
   before(async () => {
@@ -28,36 +28,47 @@
 
   after(() => fleet[Symbol.asyncDispose]());
 
-  // An upstream at whose address another instance answered is out until it announces itself again.
+  // An upstream at whose address another instance responded gets no requests until its next announcement.
   beforeEach(() => fleet.settle());
 
   const setFaults = (faultOf: (requestId: string) => UpstreamFault) => {
     for (const { upstream } of fleet.nodes) upstream.behaviour.fault = faultOf;
   };
-  /** The fault strikes the first upstream that the request reaches, and no other. */
-  const once = (fault: UpstreamFault) => {
-    const struck = new Set<string>();
+  /** Injects the fault at the first upstream that each request reaches, and at no other. */
+  const injectOnce = (fault: UpstreamFault) => {
+    const faulted = new Set<string>();
     setFaults(id => {
-      if (struck.has(id)) return 'none';
-      struck.add(id);
+      if (faulted.has(id)) return 'none';
+      faulted.add(id);
       return fault;
     });
   };
-  let asked = 0;
+  let requestCount = 0;
   const confirm = async () => {
-    const id = `confirm-${String(++asked)}`;
-    const answer = await fleet.ask(asked % 3, { id, host: 'confirm.example', method: 'POST', body: '{}' });
-    return { id, ...answer };
+    const id = `confirm-${String(++requestCount)}`;
+    const response = await fleet.ask(requestCount % 3, {
+      id,
+      host: 'confirm.example',
+      method: 'POST',
+      body: '{}',
+    });
+    return { id, ...response };
   };
   const read = async () => {
-    const id = `read-${String(++asked)}`;
-    return { id, ...(await fleet.ask(asked % 3, { id, host: 'read.example' })) };
+    const id = `read-${String(++requestCount)}`;
+    return { id, ...(await fleet.ask(requestCount % 3, { id, host: 'read.example' })) };
   };
 
-  describe('of a request that may run only once', () => {
-    for (const fault of ['lose-answer', 'cut-answer', 'reset-unframed', 'garble', 'reset-first'] as const) {
-      it(`is no promise after "${fault}", and it is not sent again`, async () => {
-        once(fault);
+  describe('of a non-idempotent request', () => {
+    for (const fault of [
+      'drop-response',
+      'truncate-response',
+      'reset-close-delimited',
+      'invalid-response',
+      'reset-before-request',
+    ] as const) {
+      it(`does not state that it did not run after "${fault}", and the request is not retried`, async () => {
+        injectOnce(fault);
         const { id, status } = await confirm();
         expect(status).to.equal(502);
         expect(fleet.arrivals(id)).to.have.lengthOf(1);
@@ -65,15 +76,15 @@
     }
 
     for (const fault of ['shed', 'other-instance'] as const) {
-      it(`is the answer of another upstream after "${fault}"`, async () => {
-        once(fault);
+      it(`comes from another upstream after "${fault}"`, async () => {
+        injectOnce(fault);
         const { id, status } = await confirm();
         expect(status).to.equal(200);
         expect(fleet.runs(id)).to.equal(1);
       });
     }
 
-    it('is a promise, with when to come back, when every upstream refused it', async () => {
+    it('states that it did not run, with Retry-After, if every upstream refused it', async () => {
       setFaults(() => 'shed');
       const { id, status, headers } = await confirm();
       expect(status).to.equal(503);
@@ -82,11 +93,11 @@
     });
   });
 
-  describe('of an answer that only the end of its connection ended', () => {
-    it('is that nobody knows its length, when the request may run only once', async () => {
+  describe('for a close-delimited response of the upstream', () => {
+    it('is close-delimited, too, if the request is not idempotent', async () => {
       setFaults(() => 'none');
       await confirm();
-      once('cut-unframed');
+      injectOnce('truncate-close-delimited');
       const { status, headers } = await confirm();
       expect(status).to.equal(200);
       expect(headers['content-length']).to.equal(undefined);
@@ -94,9 +105,9 @@
       expect(headers.connection).to.equal('close');
     });
 
-    it('is the answer itself, from an upstream that never tells a length', async () => {
+    it('is that response if the upstream never sends a length', async () => {
       const node = await fleet.add({ service: 'unframed' }, 'i-unframed');
-      node.upstream.behaviour.fault = () => 'unframed';
+      node.upstream.behaviour.fault = () => 'close-delimited';
       const routes = [routeTo('unframed', { timeoutS: 5 })];
       fleet.store.put('op', 'config', configurationText(0x100, routes));
       await until(() => node.daemon.configuration.generation === 0x100);
@@ -112,17 +123,17 @@
     });
   });
 
-  describe('of a request that may run again', () => {
+  describe('of an idempotent request', () => {
     for (const fault of [
-      'lose-answer',
-      'cut-answer',
-      'reset-unframed',
-      'cut-unframed',
-      'garble',
+      'drop-response',
+      'truncate-response',
+      'reset-close-delimited',
+      'truncate-close-delimited',
+      'invalid-response',
       'shed',
     ] as const) {
-      it(`is the answer of another upstream after "${fault}"`, async () => {
-        once(fault);
+      it(`comes from another upstream after "${fault}"`, async () => {
+        injectOnce(fault);
         const { id, status, text } = await read();
         expect(status).to.equal(200);
         expect(text).to.match(new RegExp(`^${id} x{200}$`));
@@ -130,38 +141,38 @@
     }
   });
 
-  it('is never the answer to another request, whatever comes late on a kept connection', async () => {
-    setFaults(() => 'answer-twice');
+  it('is never that of another request, even if one comes late on a kept-alive connection', async () => {
+    setFaults(() => 'respond-twice');
     for (let i = 0; i < 40; i++) {
-      const answer = await (i % 2 === 0 ? read() : confirm());
-      if (answer.status === 200) expect(answer.text).to.match(new RegExp(`^${answer.id} `));
+      const response = await (i % 2 === 0 ? read() : confirm());
+      if (response.status === 200) expect(response.text).to.match(new RegExp(`^${response.id} `));
     }
   });
 
-  it('keeps its promises for any faults in any order', async () => {
+  it('is correct for any faults in any order', async () => {
     const fault = fc.constantFrom<UpstreamFault>(
       'none',
-      'lose-answer',
-      'cut-answer',
-      'reset-unframed',
-      'answer-twice',
-      'garble',
+      'drop-response',
+      'truncate-response',
+      'reset-close-delimited',
+      'respond-twice',
+      'invalid-response',
       'shed',
       'other-instance',
-      'reset-first',
+      'reset-before-request',
     );
     await fc.assert(
       fc.asyncProperty(fc.array(fault, { minLength: 6, maxLength: 24 }), async faults => {
         let next = 0;
         setFaults(() => faults[next++ % faults.length]!);
-        const told = await Promise.all(faults.map((_, i) => (i % 3 === 0 ? read() : confirm())));
-        for (const { id, status, text, isWhole } of told) {
-          const mayRepeat = id.startsWith('read');
+        const results = await Promise.all(faults.map((_, i) => (i % 3 === 0 ? read() : confirm())));
+        for (const { id, status, text, isWhole } of results) {
+          const isIdempotent = id.startsWith('read');
           if (status === 200) expect(text, id).to.match(new RegExp(`^${id} x{200}$`));
           if (status === 200) expect(isWhole, id).to.equal(true);
-          if (!mayRepeat) expect(fleet.runs(id), `runs of ${id}`).to.be.at.most(1);
-          if (!mayRepeat && PROMISES.includes(status))
-            expect(fleet.runs(id), `${id} told ${String(status)}`).to.equal(0);
+          if (!isIdempotent) expect(fleet.runs(id), `runs of ${id}`).to.be.at.most(1);
+          if (!isIdempotent && NOT_RUN_STATUSES.includes(status))
+            expect(fleet.runs(id), `runs of ${id} with status ${String(status)}`).to.equal(0);
         }
       }),
       { numRuns: 25 },
