--- a/packages/bench/src/chain.ts
+++ b/packages/bench/src/chain.ts
@@ -7,19 +7,19 @@
 /** A class of the chain's entry routes. */
 export type ChainClass = (typeof CLASSES)[number];
 
-const DOMAINS = ['domain-a', 'domain-b', 'domain-c'];
+const FAILURE_DOMAINS = ['domain-a', 'domain-b', 'domain-c'];
 const TIMEOUT_MS = 4000;
-const UPPER = { slots: 64, serviceMs: 8 };
+const OTHER_SERVICE = { slots: 64, serviceMs: 8 };
 const BOTTLENECK = { slots: 8, serviceMs: 160 };
 
 /** Upstreams of each service: fewer in a deep chain, so that the machine's processors are not what is short. */
-function upstreamsAt(depth: number): number {
+function upstreamsPerService(depth: number): number {
   return depth > 5 ? 2 : 3;
 }
 
 /** Requests a second that the bottleneck of a chain can answer. */
 export function chainCapacity(depth: number): number {
-  return (upstreamsAt(depth) * BOTTLENECK.slots * 1000) / BOTTLENECK.serviceMs;
+  return (upstreamsPerService(depth) * BOTTLENECK.slots * 1000) / BOTTLENECK.serviceMs;
 }
 
 /** Name of the service at a depth, from 1. */
@@ -31,16 +31,16 @@
 export function chainFile(depth: number, fanOut = 1): OperatorFile {
   const services: Record<string, unknown> = {};
   for (let at = 1; at <= depth; at++) {
-    const { slots } = at === depth ? BOTTLENECK : UPPER;
+    const { slots } = at === depth ? BOTTLENECK : OTHER_SERVICE;
     const calls = at < depth ? Array.from({ length: fanOut }, () => `${serviceAt(at + 1)}.run`) : [];
     const route = { idempotent: true, timeoutMs: TIMEOUT_MS, calls };
     const run = { ...route, method: 'GET', path: '/run', class: CLASSES[2] };
-    const entries = {
+    const ingressRoutes = {
       critical: { ...route, idempotent: false, method: 'POST', path: '/critical', class: CLASSES[0] },
       normal: { ...route, method: 'GET', path: '/normal', class: CLASSES[1] },
       bulk: { ...route, method: 'GET', path: '/bulk', class: CLASSES[2] },
     };
-    services[serviceAt(at)] = { slots, maxQueueMs: 120, routes: at === 1 ? entries : { run } };
+    services[serviceAt(at)] = { slots, maxQueueMs: 120, routes: at === 1 ? ingressRoutes : { run } };
   }
   const file = {
     deployment: 'chain',
@@ -54,13 +54,13 @@
 
 /** The VMs of a chain: each service has one in each of its failure domains. */
 export function chainNodes(depth: number): FleetOptions['nodes'] {
-  const upstreams = upstreamsAt(depth);
+  const upstreams = upstreamsPerService(depth);
   return Array.from({ length: depth * upstreams }, (_, i) => {
     const at = Math.floor(i / upstreams) + 1;
     return {
       service: serviceAt(at),
-      failureDomain: DOMAINS[i % upstreams] ?? '',
-      behaviour: at === depth ? BOTTLENECK : UPPER,
+      failureDomain: FAILURE_DOMAINS[i % upstreams] ?? '',
+      behaviour: at === depth ? BOTTLENECK : OTHER_SERVICE,
     };
   });
 }
--- a/packages/bench/src/childProcess.ts
+++ b/packages/bench/src/childProcess.ts
@@ -3,16 +3,17 @@
 import { createInterface } from 'node:readline';
 
 const START_TIMEOUT_MS = 30_000;
-const HEAP_MB = 512;
-const EXIT_SIGNAL = 143;
+const MAX_HEAP_MB = 512;
+const SIGTERM_EXIT_CODE = 143;
 
 /** Those that run; none of them outlives this process, however it ends. */
-const running = new Set<ChildProcess>();
-process.once('exit', () => running.forEach(child => child.kill('SIGKILL')));
-for (const signal of ['SIGTERM', 'SIGHUP'] as const) process.once(signal, () => process.exit(EXIT_SIGNAL));
+const runningChildren = new Set<ChildProcess>();
+process.once('exit', () => runningChildren.forEach(child => child.kill('SIGKILL')));
+for (const signal of ['SIGTERM', 'SIGHUP'] as const)
+  process.once(signal, () => process.exit(SIGTERM_EXIT_CODE));
 
 /** Owns one process; disposing kills it. */
-export class OwnedProcess implements AsyncDisposable {
+export class ManagedProcess implements AsyncDisposable {
   private constructor(
     private readonly child: ChildProcess,
     /** The first JSON line of its output that `isReady` took. */
@@ -22,19 +23,19 @@
   ) {}
 
   /** Starts a node program and waits until it says that it is ready. */
-  static async start(script: string, args: string[], readyField: string): Promise<OwnedProcess> {
-    const options = [`--max-old-space-size=${String(HEAP_MB)}`, script, ...args];
+  static async start(script: string, args: string[], readyField: string): Promise<ManagedProcess> {
+    const options = [`--max-old-space-size=${String(MAX_HEAP_MB)}`, script, ...args];
     const child = spawn(process.execPath, options, { stdio: ['ignore', 'pipe', 'pipe'] });
     const exited = new Promise<number | string>(resolve => {
-      running.add(child);
+      runningChildren.add(child);
       child.once('exit', (code, signal) => {
-        running.delete(child);
+        runningChildren.delete(child);
         resolve(code ?? signal ?? 'unknown');
       });
     });
-    let errors = '';
+    let stderrTail = '';
     child.stderr.on('data', (chunk: Buffer) => {
-      errors = (errors + chunk.toString()).slice(-2000);
+      stderrTail = (stderrTail + chunk.toString()).slice(-2000);
     });
     const ready = new Promise<Record<string, unknown>>((resolve, reject) => {
       createInterface({ input: child.stdout }).on('line', line => {
@@ -42,11 +43,14 @@
         const message = JSON.parse(line) as Record<string, unknown>;
         if (readyField in message) resolve(message);
       });
-      void exited.then(how => reject(new Error(`${script} ended with ${String(how)}: ${errors}`)));
-      setTimeout(() => reject(new Error(`${script} did not get ready: ${errors}`)), START_TIMEOUT_MS).unref();
+      void exited.then(how => reject(new Error(`${script} ended with ${String(how)}: ${stderrTail}`)));
+      setTimeout(
+        () => reject(new Error(`${script} did not get ready: ${stderrTail}`)),
+        START_TIMEOUT_MS,
+      ).unref();
     });
     try {
-      return new OwnedProcess(child, await ready, exited);
+      return new ManagedProcess(child, await ready, exited);
     } catch (error) {
       child.kill('SIGKILL');
       throw error;
--- a/packages/bench/src/classCounts.ts
+++ b/packages/bench/src/classCounts.ts
@@ -4,21 +4,21 @@
 import { table } from './output.js';
 
 /** How one request went. */
-export interface Answered {
+export interface RequestResult {
   readonly outcome: CallerResult['outcome'];
   readonly ms: number;
   /** Complete, correct, and for this request. */
-  readonly whole: boolean;
+  readonly isComplete: boolean;
 }
 
 interface Row {
-  counts: Record<Answered['outcome'], number>;
-  broken: number;
+  counts: Record<RequestResult['outcome'], number>;
+  incomplete: number;
   latency: RecordableHistogram;
 }
 
 /** Whether an answer is complete and belongs to the request with this token. */
-export function isWhole(result: CallerResult | undefined, token: string, route: string): boolean {
+export function isCompleteResponse(result: CallerResult | undefined, token: string, route: string): boolean {
   if (result?.status !== 200) return false;
   try {
     const body = JSON.parse(result.body.toString('utf8')) as {
@@ -33,36 +33,36 @@
 }
 
 /** Counts by class. */
-export class ClassCounts {
+export class ClassStatistics {
   private readonly rows = new Map<string, Row>();
 
   constructor(classes: readonly string[]) {
     for (const name of classes) {
       const counts = { answered: 0, 'not-run': 0, unknown: 0, failed: 0 };
-      this.rows.set(name, { counts, broken: 0, latency: createHistogram() });
+      this.rows.set(name, { counts, incomplete: 0, latency: createHistogram() });
     }
   }
 
   /** Whether every request got its whole answer. */
-  get isPerfect(): boolean {
-    return [...this.rows.values()].every(({ counts, broken }) => {
+  get allSucceeded(): boolean {
+    return [...this.rows.values()].every(({ counts, incomplete: broken }) => {
       return broken === 0 && counts['not-run'] + counts.unknown + counts.failed === 0;
     });
   }
 
   /** Adds one request. */
-  add(className: string, { outcome, ms, whole }: Answered): void {
+  add(className: string, { outcome, ms, isComplete: whole }: RequestResult): void {
     const row = this.rows.get(className);
     if (!row) return;
     row.counts[outcome]++;
-    if (outcome === 'answered' && !whole) row.broken++;
+    if (outcome === 'answered' && !whole) row.incomplete++;
     row.latency.record(Math.max(1, Math.round(ms * 1000)));
   }
 
   /** For people. */
   table(): string {
     const head = ['class', 'answered', 'not run', 'unknown', 'failed', 'not whole', 'p50 ms', 'p99 ms'];
-    const rows = [...this.rows].map(([name, { counts, broken, latency }]) => {
+    const rows = [...this.rows].map(([name, { counts, incomplete: broken, latency }]) => {
       const ms = [50, 99].map(p => (latency.percentile(p) / 1000).toFixed(1));
       return [name, counts.answered, counts['not-run'], counts.unknown, counts.failed, broken, ...ms];
     });
--- a/packages/bench/src/daemonGroup.ts
+++ b/packages/bench/src/daemonGroup.ts
@@ -3,17 +3,17 @@
 import { ConfigurationStore } from '@cleatquay/configuration';
 import { HttpStore } from '@cleatquay/store';
 import { request } from 'undici';
-import { OwnedProcess } from './childProcess.js';
+import { ManagedProcess } from './childProcess.js';
 import { deployments, fileOf, sharedFile } from './deployments.js';
 import { type DaemonAddresses } from './fleet.js';
 
 const DAEMON = sharedFile('packages/daemon/bin/cleatquayd.js');
 const PLATFORM = sharedFile('packages/standins/dist/platformMain.js');
-const START_AT_ONCE = 8;
-const SEEDS = 3;
+const MAX_CONCURRENT_STARTS = 8;
+const MAX_SEEDS = 3;
 
 /** What a daemon has used since its start. */
-export interface Counters {
+export interface ResourceUsage {
   readonly cpuSeconds: number;
   /** Gossip sent and received, and configuration received. */
   readonly bytes: number;
@@ -22,21 +22,21 @@
 
 /** Owns the daemons and the platform's stand-in. */
 export class DaemonGroup implements AsyncDisposable {
-  private readonly daemons: OwnedProcess[] = [];
+  private readonly daemons: ManagedProcess[] = [];
 
-  private constructor(private readonly platform: OwnedProcess) {}
+  private constructor(private readonly platform: ManagedProcess) {}
 
   /** Starts `count` daemons in three failure domains, with Frostline's configuration in force. */
   static async start(count: number): Promise<DaemonGroup> {
-    const group = new DaemonGroup(await OwnedProcess.start(PLATFORM, [], 'url'));
+    const group = new DaemonGroup(await ManagedProcess.start(PLATFORM, [], 'url'));
     const deployment = deployments.frostline;
     if (!deployment) throw new Error('The deployment is missing.');
     await using platform = new HttpStore(group.platformUrl);
     await new ConfigurationStore(platform, new SystemClock()).apply(fileOf(deployment));
-    await group.add(deployment.failureDomains, 0);
-    for (let i = 1; i < count; i += START_AT_ONCE) {
-      const indexes = Array.from({ length: Math.min(START_AT_ONCE, count - i) }, (_, k) => i + k);
-      await Promise.all(indexes.map(index => group.add(deployment.failureDomains, index)));
+    await group.startDaemon(deployment.failureDomains, 0);
+    for (let i = 1; i < count; i += MAX_CONCURRENT_STARTS) {
+      const indexes = Array.from({ length: Math.min(MAX_CONCURRENT_STARTS, count - i) }, (_, k) => i + k);
+      await Promise.all(indexes.map(index => group.startDaemon(deployment.failureDomains, index)));
     }
     return group;
   }
@@ -61,25 +61,25 @@
   async announceOne(index: number, address: string): Promise<void> {
     const body = JSON.stringify({ service: 'alarms', address, slots: 20, connections: 220 });
     const headers = { 'content-type': 'application/json' };
-    const answer = await request(`http://${this.addresses(index).operator}/upstreams`, {
+    const response = await request(`http://${this.addresses(index).operator}/upstreams`, {
       method: 'POST',
       headers,
       body,
     });
-    await answer.body.dump();
+    await response.body.dump();
   }
 
   /** Counters of every daemon, from its metrics. */
-  async counters(): Promise<Counters[]> {
-    return Promise.all(this.daemons.map((_, index) => this.countersOf(index)));
+  async resourceUsage(): Promise<ResourceUsage[]> {
+    return Promise.all(this.daemons.map((_, index) => this.resourceUsageOf(index)));
   }
 
   /** When each daemon put the generation in force, ms since 1970; undefined where it is not. */
-  async adoptions(generation: number): Promise<(number | undefined)[]> {
+  async adoptionTimes(generation: number): Promise<(number | undefined)[]> {
     return Promise.all(
       this.daemons.map(async (_, index) => {
-        const answer = await request(`http://${this.addresses(index).operator}/status`);
-        const status = (await answer.body.json()) as { generation: number; adoptedAt?: string };
+        const response = await request(`http://${this.addresses(index).operator}/status`);
+        const status = (await response.body.json()) as { generation: number; adoptedAt?: string };
         return status.generation >= generation ? Date.parse(status.adoptedAt ?? '') : undefined;
       }),
     );
@@ -93,16 +93,16 @@
     return this.daemons[index]?.ready.addresses as DaemonAddresses;
   }
 
-  private async add(failureDomains: readonly string[], index: number): Promise<void> {
-    const seeds = this.daemons.slice(0, SEEDS).flatMap((_, i) => ['--seeds', this.addresses(i).gossip]);
+  private async startDaemon(failureDomains: readonly string[], index: number): Promise<void> {
+    const seeds = this.daemons.slice(0, MAX_SEEDS).flatMap((_, i) => ['--seeds', this.addresses(i).gossip]);
     const domain = failureDomains[index % failureDomains.length] ?? '';
     const flags = ['--ip=127.0.0.1', `--failureDomain=${domain}`, `--platform=${this.platformUrl}`, ...seeds];
-    this.daemons.push(await OwnedProcess.start(DAEMON, flags, 'addresses'));
+    this.daemons.push(await ManagedProcess.start(DAEMON, flags, 'addresses'));
   }
 
-  private async countersOf(index: number): Promise<Counters> {
-    const answer = await request(`http://${this.addresses(index).operator}/metrics`);
-    const text = await answer.body.text();
+  private async resourceUsageOf(index: number): Promise<ResourceUsage> {
+    const response = await request(`http://${this.addresses(index).operator}/metrics`);
+    const text = await response.body.text();
     const value = (name: string) => Number(new RegExp(`^${name} (.+)$`, 'm').exec(text)?.[1] ?? Number.NaN);
     const gossip = value('cleatquay_gossip_sent_bytes') + value('cleatquay_gossip_received_bytes');
     return {
--- a/packages/bench/src/experiments/capacity.ts
+++ b/packages/bench/src/experiments/capacity.ts
@@ -14,14 +14,14 @@
 const SETTLE_MS = 5000;
 const FLEET_SETTLE_MS = 20_000;
 const GOSSIP_SETTLE_MS = 60_000;
-const WARM_UPS = 3;
-const IDLE_MS = 15_000;
+const WARM_UP_BURSTS = 3;
+const IDLE_MEASUREMENT_MS = 15_000;
 const CHANGES = 6;
-const CHANGE_EVERY_MS = 3000;
+const CHANGE_INTERVAL_MS = 3000;
 const TABLE_MEMBERS = 10_000;
 const SIMULATED_SECONDS = 30;
 const SIMULATED_CHANGES = 20;
-const ANNOUNCE_EVERY_MS = 1000;
+const ANNOUNCE_INTERVAL_MS = 1000;
 
 /** Per-daemon figures of a fleet of real processes that carries no calls. */
 export interface FleetCost {
@@ -34,8 +34,8 @@
   readonly changingBytes: number;
   readonly residentMb: number;
   /** From acceptance until in force at 99 in 100 daemons, and at all, ms; the slowest change. */
-  readonly spreadP99Ms: number;
-  readonly spreadMaxMs: number;
+  readonly distributionP99Ms: number;
+  readonly distributionMaxMs: number;
 }
 
 /** Gossip of simulated members: bytes a second each sends when nothing changes, and bytes for one change. */
@@ -52,16 +52,16 @@
   const listener = createServer(socket => socket.destroy());
   await new Promise<void>(resolve => listener.listen(0, '127.0.0.1', resolve));
   const address = `127.0.0.1:${String((listener.address() as AddressInfo).port)}`;
-  const announcing = setInterval(() => void group.announceAll(address), ANNOUNCE_EVERY_MS);
+  const announcing = setInterval(() => void group.announceAll(address), ANNOUNCE_INTERVAL_MS);
   try {
     await clock.sleep(FLEET_SETTLE_MS);
-    const idle = await costOver(group, () => clock.sleep(IDLE_MS));
-    const spreads: number[][] = [];
-    const changing = await costOver(group, async () => {
-      for (let i = 1; i <= CHANGES; i++) spreads.push(await changeOnce(group, clock, i));
+    const idle = await costDuring(group, () => clock.sleep(IDLE_MEASUREMENT_MS));
+    const distributionTimes: number[][] = [];
+    const changing = await costDuring(group, async () => {
+      for (let i = 1; i <= CHANGES; i++) distributionTimes.push(await applyChange(group, clock, i));
     });
     const worst = (share: number) =>
-      Math.max(...spreads.map(s => s[Math.ceil(s.length * share) - 1] ?? Number.NaN));
+      Math.max(...distributionTimes.map(s => s[Math.ceil(s.length * share) - 1] ?? Number.NaN));
     return {
       daemons: count,
       idleCpu: idle.cpu,
@@ -69,8 +69,8 @@
       idleBytes: idle.bytes,
       changingBytes: changing.bytes,
       residentMb: changing.residentMb,
-      spreadP99Ms: worst(0.99),
-      spreadMaxMs: worst(1),
+      distributionP99Ms: worst(0.99),
+      distributionMaxMs: worst(1),
     };
   } finally {
     clearInterval(announcing);
@@ -79,7 +79,7 @@
 }
 
 /** Applies one change; gives the times until it was in force at each daemon, sorted. */
-async function changeOnce(group: DaemonGroup, clock: SystemClock, slots: number): Promise<number[]> {
+async function applyChange(group: DaemonGroup, clock: SystemClock, slots: number): Promise<number[]> {
   const deployment = deployments.frostline;
   if (!deployment) throw new Error('The deployment is missing.');
   const file = structuredClone(fileOf(deployment));
@@ -88,18 +88,18 @@
   await using platform = new HttpStore(group.platformUrl);
   const { applied } = await new ConfigurationStore(platform, clock).apply(file);
   const acceptedAt = Date.now();
-  await clock.sleep(CHANGE_EVERY_MS);
-  const adoptions = await group.adoptions(applied.generation);
+  await clock.sleep(CHANGE_INTERVAL_MS);
+  const adoptions = await group.adoptionTimes(applied.generation);
   return adoptions
     .map(at => (at === undefined ? Number.POSITIVE_INFINITY : at - acceptedAt))
     .sort((a, b) => a - b);
 }
 
-async function costOver(group: DaemonGroup, action: () => Promise<void>) {
+async function costDuring(group: DaemonGroup, action: () => Promise<void>) {
   const start = performance.now();
-  const before = await group.counters();
+  const before = await group.resourceUsage();
   await action();
-  const after = await group.counters();
+  const after = await group.resourceUsage();
   const seconds = (performance.now() - start) / 1000;
   const mean = (of: (i: number) => number) => before.reduce((sum, _, i) => sum + of(i), 0) / before.length;
   const rate = (name: 'cpuSeconds' | 'bytes') =>
@@ -118,10 +118,10 @@
   for (const address of addresses) network.start(address, addresses.slice(0, 3));
   await network.pass(GOSSIP_SETTLE_MS);
   const sent = () => addresses.reduce((sum, address) => sum + network.get(address).traffic.sentBytes, 0);
-  const atStart = sent();
+  const beforeIdle = sent();
   await network.pass(SIMULATED_SECONDS * 1000);
-  const idle = sent() - atStart;
-  const atChanges = sent();
+  const idle = sent() - beforeIdle;
+  const beforeChanges = sent();
   for (let i = 0; i < SIMULATED_CHANGES; i++) {
     const address = addresses[(i * 7) % members] ?? '';
     network
@@ -129,7 +129,7 @@
       .setUpstreams([{ service: 's', address, slots: i + 1, connections: 9, draining: false }]);
     await network.pass((SIMULATED_SECONDS * 1000) / SIMULATED_CHANGES);
   }
-  const changing = sent() - atChanges;
+  const changing = sent() - beforeChanges;
   return {
     members,
     idleBytes: idle / members / SIMULATED_SECONDS,
@@ -145,12 +145,12 @@
   };
   const before = heap();
   const known = new MemberTable();
-  for (const address of simulatedAddresses(TABLE_MEMBERS)) known.put(Object.freeze(memberAt(address)));
+  for (const address of simulatedAddresses(TABLE_MEMBERS)) known.put(Object.freeze(createMember(address)));
   const bytes = (heap() - before) / known.size;
   return bytes;
 }
 
-function memberAt(address: string) {
+function createMember(address: string) {
   const upstreams = [{ service: 'history', address, slots: 90, connections: 630, draining: false }];
   const places = {
     address,
@@ -170,12 +170,12 @@
 
 /** Processor time of the two daemons of a call, ms: a fleet with load less the same without. */
 export interface CallCost {
-  readonly entryMs: number;
-  readonly upstreamSideMs: number;
+  readonly ingressMs: number;
+  readonly upstreamDaemonMs: number;
 }
 
 const CALLS = 4000;
-const AT_ONCE = 4;
+const CONCURRENCY = 4;
 
 /** Sends calls over two daemons and takes the processor time that they used. */
 export async function measureCall(): Promise<CallCost> {
@@ -183,22 +183,22 @@
   const server = (await import('node:http')).createServer((_request, response) => response.end('{}'));
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
   const address = `127.0.0.1:${String((server.address() as AddressInfo).port)}`;
-  const announcing = setInterval(() => void group.announceOne(1, address), ANNOUNCE_EVERY_MS);
+  const announcing = setInterval(() => void group.announceOne(1, address), ANNOUNCE_INTERVAL_MS);
   await new SystemClock().sleep(SETTLE_MS);
   const url = `http://${group.callerAddress(0)}/alarms/alarms/7`;
   const call = async () => {
-    for (let i = 0; i < CALLS / AT_ONCE; i++) await (await request(url)).body.dump();
+    for (let i = 0; i < CALLS / CONCURRENCY; i++) await (await request(url)).body.dump();
   };
-  const burst = () => Promise.all(Array.from({ length: AT_ONCE }, call));
-  for (let i = 0; i < WARM_UPS; i++) await burst();
-  const before = await group.counters();
+  const burst = () => Promise.all(Array.from({ length: CONCURRENCY }, call));
+  for (let i = 0; i < WARM_UP_BURSTS; i++) await burst();
+  const before = await group.resourceUsage();
   await burst();
-  const after = await group.counters();
+  const after = await group.resourceUsage();
   clearInterval(announcing);
   server.closeAllConnections();
   server.close();
   const ms = (i: number) => (((after[i]?.cpuSeconds ?? 0) - (before[i]?.cpuSeconds ?? 0)) * 1000) / CALLS;
-  return { entryMs: ms(0), upstreamSideMs: ms(1) };
+  return { ingressMs: ms(0), upstreamDaemonMs: ms(1) };
 }
 
 /** All slopes, as tables. */
@@ -208,8 +208,8 @@
     table(
       ['per call', 'processor ms'],
       [
-        ['entry', calls.entryMs.toFixed(3)],
-        ['beside the upstream', calls.upstreamSideMs.toFixed(3)],
+        ['entry', calls.ingressMs.toFixed(3)],
+        ['beside the upstream', calls.upstreamDaemonMs.toFixed(3)],
       ],
     ),
   );
@@ -224,8 +224,8 @@
   for (const size of sizes) {
     const c = await measureFleet(size);
     const numbers = [c.idleCpu, c.changingCpu].map(n => n.toFixed(2));
-    const bytes = [c.idleBytes, c.changingBytes, c.residentMb, c.spreadP99Ms, c.spreadMaxMs].map(n =>
-      n.toFixed(0),
+    const bytes = [c.idleBytes, c.changingBytes, c.residentMb, c.distributionP99Ms, c.distributionMaxMs].map(
+      n => n.toFixed(0),
     );
     fleets.push([c.daemons, ...numbers, ...bytes]);
     log(`Measured ${String(size)} daemons.`);
--- a/packages/bench/src/experiments/index.ts
+++ b/packages/bench/src/experiments/index.ts
@@ -1,7 +1,7 @@
 /** The experiments by name. */
-import { type ExperimentResult, violationsOf } from '../results.js';
-import { type OverloadShape, VARIANTS, runOverload } from './overload.js';
-import { type FleetRun, runPartition, runRollingReplace } from './fleetRuns.js';
+import { type ExperimentResult, findViolations } from '../results.js';
+import { type OverloadScenario, VARIANTS, runOverload } from './overload.js';
+import { type FleetRunResult, runPartition, runRollingReplace } from './fleetRuns.js';
 import { runTruth } from './truth.js';
 
 /** One experiment. */
@@ -20,11 +20,11 @@
   readonly log: (line: string) => void;
 }
 
-const MOST_TRIES = 4;
+const MAX_ATTEMPTS = 4;
 /** Beyond this the figures tell of the machine. */
-const MOST_PROCESSOR_USE = 0.85;
+const MAX_PROCESSOR_USE = 0.85;
 
-function overload(summary: string, shape: OverloadShape): Experiment {
+function overloadExperiment(summary: string, shape: OverloadScenario): Experiment {
   return {
     summary,
     run: async ({ name, seed, variants, log }) => {
@@ -33,9 +33,10 @@
         log(`Running ${name}, ${variant}.`);
         const figures = await runOverload(shape, variant, seed);
         result.variants[variant] = figures;
-        if ((figures.processorUse ?? 0) > MOST_PROCESSOR_USE)
+        if ((figures.processorUse ?? 0) > MAX_PROCESSOR_USE)
           log(`${variant}: the processor was short, not the upstreams.`);
-        if (variant !== 'unprotected') result.violations.push(...violationsOf(variant, figures, MOST_TRIES));
+        if (variant !== 'unprotected')
+          result.violations.push(...findViolations(variant, figures, MAX_ATTEMPTS));
       }
       return result;
     },
@@ -51,7 +52,7 @@
       log(`Running ${name}, ${variant}.`);
       const figures = await runTruth(variant === 'faults', seed, seconds);
       result.variants[variant] = figures;
-      result.violations.push(...violationsOf(variant, figures, MOST_TRIES));
+      result.violations.push(...findViolations(variant, figures, MAX_ATTEMPTS));
       if (variant === 'calm' && figures.unknownShare > 0)
         result.violations.push('calm: callers were told "unknown".');
     }
@@ -60,19 +61,19 @@
 };
 
 /** A run of a fleet, in which each part has to answer a share of its requests. */
-function fleetRun(
+function fleetExperiment(
   summary: string,
-  least: number,
-  run: (seed: string, seconds: number) => Promise<FleetRun>,
+  minAnsweredShare: number,
+  run: (seed: string, seconds: number) => Promise<FleetRunResult>,
 ): Experiment {
   return {
     summary,
     run: async ({ name, seed, seconds, log }) => {
       log(`Running ${name}.`);
       const { figures, answered } = await run(seed, seconds);
-      const short = Object.entries(answered).filter(([, share]) => share < least);
-      const violations = short.map(([part, share]) => `${part} answered ${share.toFixed(4)}.`);
-      violations.push(...violationsOf('full', figures, MOST_TRIES));
+      const belowMinimum = Object.entries(answered).filter(([, share]) => share < minAnsweredShare);
+      const violations = belowMinimum.map(([part, share]) => `${part} answered ${share.toFixed(4)}.`);
+      violations.push(...findViolations('full', figures, MAX_ATTEMPTS));
       return {
         experiment: name,
         seed,
@@ -85,46 +86,58 @@
 
 /** All of them. */
 export const experiments: Readonly<Record<string, Experiment>> = {
-  steady: overload('85% load, nothing goes wrong', { depth: 3, demand: 0.85, slowFactor: 1, normal: 0.85 }),
-  surge: overload('three times the capacity is asked for', { depth: 3, demand: 3, slowFactor: 1 }),
-  'deep-slowdown': overload('the deepest of four services slows down threefold', {
+  steady: overloadExperiment('85% load, nothing goes wrong', {
+    depth: 3,
+    demand: 0.85,
+    slowFactor: 1,
+    normalDemand: 0.85,
+  }),
+  surge: overloadExperiment('three times the capacity is asked for', { depth: 3, demand: 3, slowFactor: 1 }),
+  'deep-slowdown': overloadExperiment('the deepest of four services slows down threefold', {
     depth: 4,
     demand: 0.7,
     slowFactor: 3,
   }),
-  'slowdown-and-surge': overload('the deepest of four slows down twofold while demand doubles', {
+  'slowdown-and-surge': overloadExperiment('the deepest of four slows down twofold while demand doubles', {
     depth: 4,
     demand: 1.5,
     slowFactor: 2,
   }),
-  'slowdown-and-surge-7': overload('the same, seven deep', { depth: 7, demand: 1.5, slowFactor: 2 }),
+  'slowdown-and-surge-7': overloadExperiment('the same, seven deep', {
+    depth: 7,
+    demand: 1.5,
+    slowFactor: 2,
+  }),
   truth,
-  partition: fleetRun(
+  partition: fleetExperiment(
     'one of three failure domains is cut off, and all from the platform',
     0.95,
     runPartition,
   ),
-  'rolling-replace': fleetRun('every VM is replaced in turn under load', 1, runRollingReplace),
-  'upstream-kill': overload('one of three upstreams of the deepest service is killed', {
+  'rolling-replace': fleetExperiment('every VM is replaced in turn under load', 1, runRollingReplace),
+  'upstream-kill': overloadExperiment('one of three upstreams of the deepest service is killed', {
     depth: 3,
     demand: 0.7,
     slowFactor: 1,
-    disturb: async (_fleet, [first]) => Promise.resolve(first?.upstream.signal('SIGKILL')),
+    injectFault: async (_fleet, [first]) => Promise.resolve(first?.upstream.signal('SIGKILL')),
   }),
-  'gray-upstream': overload('one of three upstreams of the deepest service answers ten times slower', {
-    depth: 3,
-    demand: 0.5,
-    slowFactor: 1,
-    normal: 0.5,
-    disturb: async (fleet, [first]) => {
-      if (first) await fleet.behave(first, { slowFactor: 10 });
+  'gray-upstream': overloadExperiment(
+    'one of three upstreams of the deepest service answers ten times slower',
+    {
+      depth: 3,
+      demand: 0.5,
+      slowFactor: 1,
+      normalDemand: 0.5,
+      injectFault: async (fleet, [first]) => {
+        if (first) await fleet.behave(first, { slowFactor: 10 });
+      },
     },
-  }),
-  'platform-outage-under-surge': overload('a surge while the platform gives no answers', {
+  ),
+  'platform-outage-under-surge': overloadExperiment('a surge while the platform gives no answers', {
     depth: 3,
     demand: 3,
     slowFactor: 1,
-    disturb: fleet => fleet.disturbPlatform({ down: true }),
-    calm: fleet => fleet.disturbPlatform({ down: false }),
+    injectFault: fleet => fleet.disturbPlatform({ down: true }),
+    clearFault: fleet => fleet.disturbPlatform({ down: false }),
   }),
 };
--- a/packages/bench/src/experiments/overload.ts
+++ b/packages/bench/src/experiments/overload.ts
@@ -3,15 +3,15 @@
 import { cpus } from 'node:os';
 import { chainCapacity, chainFile, chainNodes, serviceAt } from '../chain.js';
 import { Fleet, type FleetNode } from '../fleet.js';
-import { Load } from '../load.js';
+import { OpenLoopLoad } from '../load.js';
 import {
   type Trigger,
   type VariantResult,
-  inversions,
-  outcomes,
-  rates,
+  countInversions,
+  countOutcomes,
+  requestRates,
   recoverySeconds,
-  truth,
+  compareWithLedger,
 } from '../results.js';
 import { type TemporaryFile, writeOperatorFile } from '../temporaryFile.js';
 
@@ -20,21 +20,21 @@
 const TRIGGER_MS = 10_000;
 const AFTER_MS = 10_000;
 const RAMP_MS = 2000;
-const NORMAL_LOAD = 0.7;
+const NORMAL_DEMAND_RATIO = 0.7;
 
 /** The trigger of an experiment. */
-export interface OverloadShape {
+export interface OverloadScenario {
   readonly depth: number;
   /** Demand during the trigger, as a share of the bottleneck's normal capacity. */
   readonly demand: number;
   /** Slow-down of the bottleneck during the trigger. */
   readonly slowFactor: number;
   /** Demand before and after; 0.7 unless given. */
-  readonly normal?: number;
+  readonly normalDemand?: number;
   /** What else goes wrong while the trigger lasts. */
-  readonly disturb?: (fleet: Fleet, bottleneck: FleetNode[]) => Promise<void>;
+  readonly injectFault?: (fleet: Fleet, bottleneck: FleetNode[]) => Promise<void>;
   /** Ends the disturbance. */
-  readonly calm?: (fleet: Fleet, bottleneck: FleetNode[]) => Promise<void>;
+  readonly clearFault?: (fleet: Fleet, bottleneck: FleetNode[]) => Promise<void>;
 }
 
 /** Flags of the daemons by variant. */
@@ -45,67 +45,73 @@
 
 /** Runs one variant. */
 export async function runOverload(
-  shape: OverloadShape,
+  scenario: OverloadScenario,
   variant: string,
   seed: string,
 ): Promise<VariantResult> {
-  const file = chainFile(shape.depth);
+  const file = chainFile(scenario.depth);
   using saved: TemporaryFile = writeOperatorFile(file);
   const daemonFlags = VARIANTS[variant] ?? [];
   await using fleet = await Fleet.start({
     path: saved.path,
     file,
-    nodes: chainNodes(shape.depth),
+    nodes: chainNodes(scenario.depth),
     seed,
     daemonFlags,
   });
   const clock = new SystemClock();
-  const entries = fleet.nodes.filter(node => node.service === serviceAt(1));
-  const bottleneck = fleet.nodes.filter(node => node.service === serviceAt(shape.depth));
-  const urls = entries.map(node => `http://${node.addresses.caller}`);
-  await using load = new Load(urls, clock, seededRandom(`${seed}-${variant}`), variant);
-  const fullCapacity = chainCapacity(shape.depth);
-  const normal = fullCapacity * (shape.normal ?? NORMAL_LOAD);
+  const ingressNodes = fleet.nodes.filter(node => node.service === serviceAt(1));
+  const bottleneck = fleet.nodes.filter(node => node.service === serviceAt(scenario.depth));
+  const urls = ingressNodes.map(node => `http://${node.addresses.caller}`);
+  await using load = new OpenLoopLoad(urls, clock, seededRandom(`${seed}-${variant}`), variant);
+  const fullCapacity = chainCapacity(scenario.depth);
+  const normal = fullCapacity * (scenario.normalDemand ?? NORMAL_DEMAND_RATIO);
   load.rate = normal;
   load.start();
   await clock.sleep(WARM_UP_MS + BEFORE_MS);
   await fleet.resetWork();
-  const usage = processorUse();
+  const readProcessorUse = startProcessorMeter();
   const from = clock.now();
-  load.rate = fullCapacity * shape.demand;
-  await slowDown(fleet, bottleneck, shape.slowFactor);
-  await shape.disturb?.(fleet, bottleneck);
+  load.rate = fullCapacity * scenario.demand;
+  await setSlowFactor(fleet, bottleneck, scenario.slowFactor);
+  await scenario.injectFault?.(fleet, bottleneck);
   await clock.sleep(TRIGGER_MS);
   load.rate = normal;
-  await slowDown(fleet, bottleneck, 1);
-  await shape.calm?.(fleet, bottleneck);
+  await setSlowFactor(fleet, bottleneck, 1);
+  await scenario.clearFault?.(fleet, bottleneck);
   const trigger: Trigger = { from, to: clock.now() };
-  const used = usage();
+  const used = readProcessorUse();
   await clock.sleep(AFTER_MS);
   const end = clock.now();
   await load.stop();
-  const capacity = fullCapacity / shape.slowFactor;
-  return { ...(await figures(fleet, load, trigger, end, capacity)), processorUse: used };
+  const capacity = fullCapacity / scenario.slowFactor;
+  return { ...(await collectFigures(fleet, load, trigger, end, capacity)), processorUse: used };
 }
 
 /** Upstreams that were killed meanwhile are passed over. */
-async function slowDown(fleet: Fleet, nodes: readonly FleetNode[], slowFactor: number): Promise<void> {
+async function setSlowFactor(fleet: Fleet, nodes: readonly FleetNode[], slowFactor: number): Promise<void> {
   await Promise.all(nodes.map(node => fleet.behave(node, { slowFactor }).catch(() => undefined)));
 }
 
-async function figures(fleet: Fleet, load: Load, trigger: Trigger, end: number, capacity: number) {
+async function collectFigures(
+  fleet: Fleet,
+  load: OpenLoopLoad,
+  trigger: Trigger,
+  end: number,
+  capacity: number,
+) {
   const { samples } = load;
-  const settled = trigger.from + RAMP_MS;
-  const goodput = rates(samples, settled, trigger.to, true);
-  const offered = rates(samples, settled, trigger.to, false);
-  const works = await Promise.all(
+  const measuredFrom = trigger.from + RAMP_MS;
+  const goodput = requestRates(samples, measuredFrom, trigger.to, true);
+  const offered = requestRates(samples, measuredFrom, trigger.to, false);
+  const workCounts = await Promise.all(
     fleet.nodes.map(node => fleet.work(node).catch(() => ({ useful: 0, wasted: 0 }))),
   );
-  const wasted = works.reduce((sum, work) => sum + work.wasted, 0);
-  const useful = works.reduce((sum, work) => sum + work.useful, 0);
+  const wasted = workCounts.reduce((sum, work) => sum + work.wasted, 0);
+  const useful = workCounts.reduce((sum, work) => sum + work.useful, 0);
   const invariantViolations = await fleet.invariantViolations();
-  const first = fleet.nodes.filter(node => node.service === serviceAt(1));
-  const ledgers = first.map(node => fleet.ledger(node));
+  const firstServiceNodes = fleet.nodes.filter(node => node.service === serviceAt(1));
+  const ledgers = firstServiceNodes.map(node => fleet.ledger(node));
   const shares = Object.keys(offered.byClass).map(name => {
     const due = offered.byClass[name] ?? 0;
     return [name, due === 0 ? 1 : (goodput.byClass[name] ?? 0) / due] as const;
@@ -118,15 +124,15 @@
     goodputOverCapacity: goodput.total / Math.min(capacity, offered.total),
     recoverySeconds: recoverySeconds(samples, trigger, end),
     wastedWorkFraction: wasted / Math.max(1, useful + wasted),
-    outcomes: outcomes(samples, settled, trigger.to),
-    inversions: inversions(samples, { from: settled, to: trigger.to }),
+    outcomes: countOutcomes(samples, measuredFrom, trigger.to),
+    inversions: countInversions(samples, { from: measuredFrom, to: trigger.to }),
     invariantViolations,
-    ...truth(samples, ledgers.flat()),
+    ...compareWithLedger(samples, ledgers.flat()),
   };
 }
 
 /** Starts to measure; call the result for the mean share of processors in use since. */
-function processorUse(): () => number {
+function startProcessorMeter(): () => number {
   const total = () =>
     cpus().reduce(
       ({ busy, all }, { times }) => {
--- a/packages/bench/src/experiments/truth.ts
+++ b/packages/bench/src/experiments/truth.ts
@@ -1,16 +1,16 @@
 /** What callers are told, under random faults, compared with what the upstreams did. */
 import { SystemClock, seededRandom } from '@cleatquay/clock';
 import { deployments, fileOf } from '../deployments.js';
-import { FaultPlan } from '../faultPlan.js';
+import { FaultInjector } from '../faultPlan.js';
 import { Fleet, type FleetNode } from '../fleet.js';
-import { compare, sendMix } from '../mixedLoad.js';
+import { toVariantResult, sendMix } from '../mixedLoad.js';
 import { type VariantResult } from '../results.js';
 
 const RATE_PER_SECOND = 80;
-const FAULT_EVERY_MS = 1000;
+const MEAN_FAULT_INTERVAL_MS = 1000;
 const SETTLE_MS = 3000;
 /** How every upstream of these runs behaves. */
-export const BEHAVIOUR = { slots: 40, serviceMs: 25 };
+export const UPSTREAM_BEHAVIOUR = { slots: 40, serviceMs: 25 };
 const SERVICES = ['receiving', 'history', 'alarms'];
 
 /** Runs the fleet for `seconds`, with faults or without. */
@@ -18,10 +18,14 @@
   await using fleet = await startThreeDomains(seed);
   const clock = new SystemClock();
   const everyNode: FleetNode[] = [...fleet.nodes];
-  const plan = new FaultPlan(fleet, clock, seededRandom(`${seed}-faults`), BEHAVIOUR, (_old, fresh) =>
-    everyNode.push(fresh),
+  const injector = new FaultInjector(
+    fleet,
+    clock,
+    seededRandom(`${seed}-faults`),
+    UPSTREAM_BEHAVIOUR,
+    (_old, fresh) => everyNode.push(fresh),
   );
-  const faults = withFaults ? plan.run(seconds * 1000, FAULT_EVERY_MS) : undefined;
+  const faults = withFaults ? injector.run(seconds * 1000, MEAN_FAULT_INTERVAL_MS) : undefined;
   const end = clock.now() + seconds * 1000;
   const options = {
     clock,
@@ -29,13 +33,13 @@
     urls: () => fleet.callerUrls,
     ratePerSecond: RATE_PER_SECOND,
   };
-  const asked = await sendMix({ ...options, name: 't' }, () => clock.now() >= end);
+  const requests = await sendMix({ ...options, name: 't' }, () => clock.now() >= end);
   await faults;
   await clock.sleep(SETTLE_MS);
   const ledger = everyNode.flatMap(node => fleet.ledger(node));
   return {
-    ...compare(asked, ledger, seconds),
-    faults: plan.counts,
+    ...toVariantResult(requests, ledger, seconds),
+    faults: injector.counts,
     invariantViolations: await fleet.invariantViolations(),
   };
 }
@@ -46,7 +50,11 @@
   if (!deployment) throw new Error('The deployment is missing.');
   const file = fileOf(deployment);
   const nodes = SERVICES.flatMap(service =>
-    deployment.failureDomains.map(failureDomain => ({ service, failureDomain, behaviour: BEHAVIOUR })),
+    deployment.failureDomains.map(failureDomain => ({
+      service,
+      failureDomain,
+      behaviour: UPSTREAM_BEHAVIOUR,
+    })),
   );
   return Fleet.start({
     path: deployment.path,
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -8,14 +8,14 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { request } from 'undici';
-import { OwnedProcess } from './childProcess.js';
+import { ManagedProcess } from './childProcess.js';
 import { sharedFile } from './deployments.js';
 
 const DAEMON = sharedFile('packages/daemon/bin/cleatquayd.js');
 const UPSTREAM = sharedFile('packages/standins/dist/upstreamMain.js');
 const PLATFORM = sharedFile('packages/standins/dist/platformMain.js');
-const START_AT_ONCE = 8;
-const SEEDS = 3;
+const MAX_CONCURRENT_STARTS = 8;
+const MAX_SEEDS = 3;
 const READY_POLL_MS = 50;
 const READY_TIMEOUT_MS = 30_000;
 
@@ -31,9 +31,9 @@
 export interface FleetNode {
   readonly service: string;
   readonly failureDomain: string;
-  readonly daemon: OwnedProcess;
+  readonly daemon: ManagedProcess;
   readonly addresses: DaemonAddresses;
-  readonly upstream: OwnedProcess;
+  readonly upstream: ManagedProcess;
   /** ip:port of the upstream. */
   readonly upstreamAddress: string;
   /** Where the upstream notes what it ran. */
@@ -66,25 +66,27 @@
 /** Owns all processes of a fleet. */
 export class Fleet implements AsyncDisposable {
   readonly nodes: FleetNode[] = [];
-  private started = 0;
+  private startedCount = 0;
   private readonly ledgerFolder = mkdtempSync(join(tmpdir(), 'cleatquay-ledger-'));
 
   private constructor(
     private readonly options: FleetOptions,
-    private readonly platform: OwnedProcess,
+    private readonly platform: ManagedProcess,
   ) {}
 
   /** Starts everything, applies the operators' file, and waits until all daemons see each other. */
   static async start(options: FleetOptions): Promise<Fleet> {
-    const fleet = new Fleet(options, await OwnedProcess.start(PLATFORM, [], 'url'));
+    const fleet = new Fleet(options, await ManagedProcess.start(PLATFORM, [], 'url'));
     try {
       await using platform = new HttpStore(fleet.platformUrl);
       await new ConfigurationStore(platform, new SystemClock()).apply(options.file);
       const [first, ...others] = options.nodes;
       if (first) fleet.nodes.push(await fleet.startNode(first));
-      for (let i = 0; i < others.length; i += START_AT_ONCE) {
+      for (let i = 0; i < others.length; i += MAX_CONCURRENT_STARTS) {
         fleet.nodes.push(
-          ...(await Promise.all(others.slice(i, i + START_AT_ONCE).map(node => fleet.startNode(node)))),
+          ...(await Promise.all(
+            others.slice(i, i + MAX_CONCURRENT_STARTS).map(node => fleet.startNode(node)),
+          )),
         );
       }
       await fleet.settled();
@@ -102,7 +104,7 @@
   /** Starts one more VM. */
   async startNode(node: VmSpecification): Promise<FleetNode> {
     const { service, failureDomain, behaviour } = node;
-    const name = `${this.options.seed}-${String(this.started++)}`;
+    const name = `${this.options.seed}-${String(this.startedCount++)}`;
     const ledgerPath = join(this.ledgerFolder, name);
     const daemon = await this.startDaemon(failureDomain);
     const addresses = daemon.ready.addresses as DaemonAddresses;
@@ -115,16 +117,16 @@
       `--seed=${name}`,
       `--ledgerPath=${ledgerPath}`,
     ];
-    const upstream = await OwnedProcess.start(UPSTREAM, flags, 'address');
+    const upstream = await ManagedProcess.start(UPSTREAM, flags, 'address');
     const upstreamAddress = String(upstream.ready.address);
     return { service, failureDomain, daemon, addresses, upstream, upstreamAddress, ledgerPath };
   }
 
   /** Starts a daemon that joins by a few of those that are there. */
-  private async startDaemon(failureDomain: string): Promise<OwnedProcess> {
-    const seeds = this.nodes.slice(0, SEEDS).flatMap(({ addresses }) => ['--seeds', addresses.gossip]);
+  private async startDaemon(failureDomain: string): Promise<ManagedProcess> {
+    const seeds = this.nodes.slice(0, MAX_SEEDS).flatMap(({ addresses }) => ['--seeds', addresses.gossip]);
     const flags = [`--platform=${this.platformUrl}`, ...seeds, ...(this.options.daemonFlags ?? [])];
-    return OwnedProcess.start(
+    return ManagedProcess.start(
       DAEMON,
       ['--ip=127.0.0.1', `--failureDomain=${failureDomain}`, ...flags],
       'addresses',
@@ -135,7 +137,7 @@
   async settled(): Promise<void> {
     const end = performance.now() + READY_TIMEOUT_MS;
     for (const node of this.nodes) {
-      while (!(await this.isSettled(node))) {
+      while (!(await this.hasConverged(node))) {
         if (performance.now() > end)
           throw new Error(`${node.addresses.operator} does not see the whole fleet.`);
         await new Promise(resolve => setTimeout(resolve, READY_POLL_MS));
@@ -203,7 +205,7 @@
     rmSync(this.ledgerFolder, { recursive: true });
   }
 
-  private async isSettled({ addresses }: FleetNode): Promise<boolean> {
+  private async hasConverged({ addresses }: FleetNode): Promise<boolean> {
     const status = await getJson<{ generation: number; members: { state: string; upstreams: unknown[] }[] }>(
       `http://${addresses.operator}/status`,
     );
@@ -213,8 +215,8 @@
 }
 
 async function getText(url: string): Promise<string> {
-  const answer = await request(url);
-  return answer.body.text();
+  const response = await request(url);
+  return response.body.text();
 }
 
 async function getJson<T>(url: string): Promise<T> {
@@ -223,6 +225,6 @@
 
 async function post(url: string, body: unknown): Promise<void> {
   const headers = { 'content-type': 'application/json' };
-  const answer = await request(url, { method: 'POST', headers, body: JSON.stringify(body) });
-  await answer.body.dump();
+  const response = await request(url, { method: 'POST', headers, body: JSON.stringify(body) });
+  await response.body.dump();
 }
--- a/packages/bench/src/load.ts
+++ b/packages/bench/src/load.ts
@@ -4,11 +4,11 @@
 import { CLASSES, type ChainClass, serviceAt } from './chain.js';
 
 const CLIENT_TIMEOUT_MS = 3000;
-const HARD_RESENDS = 3;
-const RESEND_AFTER_MS = 50;
+const MAX_RETRIES = 3;
+const MAX_RETRY_DELAY_MS = 50;
 const CONNECTIONS = 400;
 const TICK_MS = 2;
-const ID_BATCH = 20;
+const ID_BATCH_SIZE = 20;
 
 /** How one client request went, all its sends together. */
 export interface Sample {
@@ -17,8 +17,8 @@
   readonly at: number;
   readonly ms: number;
   readonly outcome: 'answered' | 'not-run' | 'unknown' | 'failed';
-  readonly whole: boolean;
-  readonly mismatched: boolean;
+  readonly isComplete: boolean;
+  readonly isMismatched: boolean;
   readonly sends: number;
   readonly token: string;
   /** Ids that were said to have run nowhere. */
@@ -26,10 +26,10 @@
 }
 
 /** Share of each class in the demand. */
-export const MIX: Readonly<Record<ChainClass, number>> = { critical: 0.2, normal: 0.3, bulk: 0.5 };
+export const CLASS_SHARES: Readonly<Record<ChainClass, number>> = { critical: 0.2, normal: 0.3, bulk: 0.5 };
 
 /** Sends requests at a rate that can be changed, and keeps a sample of each. */
-export class Load implements AsyncDisposable {
+export class OpenLoopLoad implements AsyncDisposable {
   readonly samples: Sample[] = [];
   /** Requests a second. */
   rate = 0;
@@ -53,7 +53,7 @@
 
   /** Starts the arrivals. */
   start(): void {
-    this.arrivals = this.arrive();
+    this.arrivals = this.runArrivals();
   }
 
   /** Ends the arrivals and waits for what is out. */
@@ -70,7 +70,7 @@
   }
 
   /** A Poisson process; latencies count from when a request was due, not from when it could be sent. */
-  private async arrive(): Promise<void> {
+  private async runArrivals(): Promise<void> {
     let due = this.clock.now();
     while (!this.stopped) {
       const now = this.clock.now();
@@ -86,7 +86,7 @@
 
   private pickClass(): ChainClass {
     let left = this.random();
-    return CLASSES.find(name => (left -= MIX[name]) < 0) ?? 'bulk';
+    return CLASSES.find(name => (left -= CLASS_SHARES[name]) < 0) ?? 'bulk';
   }
 
   private async send(at: number): Promise<void> {
@@ -94,20 +94,20 @@
     const token = `${this.name}-${String(++this.count)}`;
     const notRunIds: string[] = [];
     let id: string | undefined;
-    let result = NOTHING;
+    let result = NO_RESPONSE;
     let sends = 0;
     const end = at + CLIENT_TIMEOUT_MS;
-    while (sends <= HARD_RESENDS && this.clock.now() < end && result.outcome !== 'answered') {
-      if (sends > 0) await this.clock.sleep(RESEND_AFTER_MS * this.random());
+    while (sends <= MAX_RETRIES && this.clock.now() < end && result.outcome !== 'answered') {
+      if (sends > 0) await this.clock.sleep(MAX_RETRY_DELAY_MS * this.random());
       sends++;
       const pool = this.pools[Math.floor(this.random() * this.pools.length)];
-      if (className === 'critical') id ??= await this.takeId(pool);
-      result = await attempt(pool, { className, token, id, timeoutMs: end - this.clock.now() });
+      if (className === 'critical') id ??= await this.obtainId(pool);
+      result = await sendOnce(pool, { className, token, id, timeoutMs: end - this.clock.now() });
       if (result.outcome !== 'not-run') continue;
       notRunIds.push(result.requestId);
       id = undefined;
     }
-    const { outcome, whole, mismatched } = result;
+    const { outcome, isComplete: whole, isMismatched: mismatched } = result;
     this.samples.push({
       className,
       at,
@@ -116,16 +116,16 @@
       sends,
       notRunIds,
       outcome,
-      whole,
-      mismatched,
+      isComplete: whole,
+      isMismatched: mismatched,
     });
   }
 
   /** Ids come in batches, so that a resend can be known for one. */
-  private async takeId(pool: Pool | undefined): Promise<string | undefined> {
+  private async obtainId(pool: Pool | undefined): Promise<string | undefined> {
     if (this.ids.length > 0) return this.ids.pop();
     const answer = await pool
-      ?.request({ method: 'POST', path: `/cleatquay/ids?count=${String(ID_BATCH)}` })
+      ?.request({ method: 'POST', path: `/cleatquay/ids?count=${String(ID_BATCH_SIZE)}` })
       .catch(() => undefined);
     const body = (await answer?.body.json().catch(() => undefined)) as { ids?: string[] } | undefined;
     this.ids.push(...(body?.ids ?? []));
@@ -133,27 +133,27 @@
   }
 }
 
-interface Attempt {
+interface SendOptions {
   readonly className: ChainClass;
   readonly token: string;
   readonly id: string | undefined;
   readonly timeoutMs: number;
 }
 
-interface Attempted {
+interface SendResult {
   readonly outcome: Sample['outcome'];
-  readonly whole: boolean;
-  readonly mismatched: boolean;
+  readonly isComplete: boolean;
+  readonly isMismatched: boolean;
   readonly requestId: string;
 }
 
-const NOTHING: Attempted = { outcome: 'unknown', whole: false, mismatched: false, requestId: '' };
+const NO_RESPONSE: SendResult = { outcome: 'unknown', isComplete: false, isMismatched: false, requestId: '' };
 
-async function attempt(
+async function sendOnce(
   pool: Pool | undefined,
-  { className, token, id, timeoutMs }: Attempt,
-): Promise<Attempted> {
-  if (!pool || timeoutMs <= 0) return NOTHING;
+  { className, token, id, timeoutMs }: SendOptions,
+): Promise<SendResult> {
+  if (!pool || timeoutMs <= 0) return NO_RESPONSE;
   const isCritical = className === 'critical';
   try {
     const answer = await pool.request({
@@ -167,23 +167,23 @@
       body: isCritical ? '{}' : null,
       signal: AbortSignal.timeout(Math.ceil(timeoutMs)),
     });
-    return judge(answer, token, await answer.body.text());
+    return toSendResult(answer, token, await answer.body.text());
   } catch {
-    return NOTHING;
+    return NO_RESPONSE;
   }
 }
 
-function judge(answer: Dispatcher.ResponseData, token: string, text: string): Attempted {
+function toSendResult(answer: Dispatcher.ResponseData, token: string, text: string): SendResult {
   const outcome = (answer.headers['cleatquay-outcome'] ?? 'unknown') as Sample['outcome'];
   const requestId = String(answer.headers['cleatquay-request-id'] ?? '');
   if (answer.statusCode !== 200)
-    return { ...NOTHING, outcome: outcome === 'answered' ? 'failed' : outcome, requestId };
-  const body = parse(text);
+    return { ...NO_RESPONSE, outcome: outcome === 'answered' ? 'failed' : outcome, requestId };
+  const body = parseBody(text);
   const whole = body !== undefined;
-  return { outcome: 'answered', whole, mismatched: whole && body.token !== token, requestId };
+  return { outcome: 'answered', isComplete: whole, isMismatched: whole && body.token !== token, requestId };
 }
 
-function parse(text: string): { token?: string } | undefined {
+function parseBody(text: string): { token?: string } | undefined {
   try {
     return JSON.parse(text) as { token?: string };
   } catch {
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -6,7 +6,7 @@
 import { table } from './output.js';
 import { type ExperimentResult } from './results.js';
 
-const EXIT_VIOLATION = 1;
+const VIOLATION_EXIT_CODE = 1;
 
 await yargs(hideBin(process.argv))
   .scriptName('bench')
@@ -40,9 +40,9 @@
         log,
       });
       if (!result) return;
-      process.stdout.write(argv.json ? JSON.stringify(result) : describe(result));
+      process.stdout.write(argv.json ? JSON.stringify(result) : formatResult(result));
       process.stdout.write('\n');
-      process.exitCode = result.violations.length > 0 ? EXIT_VIOLATION : 0;
+      process.exitCode = result.violations.length > 0 ? VIOLATION_EXIT_CODE : 0;
     },
   )
   .command(
@@ -56,22 +56,23 @@
   .strict()
   .parse();
 
-function describe({ variants, violations, seed }: ExperimentResult): string {
+function formatResult({ variants, violations, seed }: ExperimentResult): string {
   const names = Object.keys(variants);
-  const figures = [...new Set(Object.values(variants).flatMap(variant => Object.keys(flat(variant))))];
+  const figures = [...new Set(Object.values(variants).flatMap(variant => Object.keys(flatten(variant))))];
   const rows = figures.map(figure => [
     figure,
-    ...names.map(name => flat(variants[name] ?? {})[figure] ?? ''),
+    ...names.map(name => flatten(variants[name] ?? {})[figure] ?? ''),
   ]);
-  const broken = violations.length === 0 ? 'No invariant was violated.' : violations.join('\n');
-  return `${table([`seed ${seed}`, ...names], rows)}\n${broken}`;
+  const violationText = violations.length === 0 ? 'No invariant was violated.' : violations.join('\n');
+  return `${table([`seed ${seed}`, ...names], rows)}\n${violationText}`;
 }
 
 /** Nested figures as `goodput.total`, rounded. */
-function flat(value: object, prefix = ''): Record<string, string> {
+function flatten(value: object, prefix = ''): Record<string, string> {
   return Object.fromEntries(
     Object.entries(value).flatMap(([key, inner]: [string, unknown]): [string, string][] => {
-      if (typeof inner === 'object' && inner !== null) return Object.entries(flat(inner, `${prefix}${key}.`));
+      if (typeof inner === 'object' && inner !== null)
+        return Object.entries(flatten(inner, `${prefix}${key}.`));
       return [
         [prefix + key, typeof inner === 'number' ? String(Math.round(inner * 1000) / 1000) : String(inner)],
       ];
--- a/packages/bench/src/mixedLoad.ts
+++ b/packages/bench/src/mixedLoad.ts
@@ -4,12 +4,12 @@
 import { type Effect } from '@cleatquay/standins';
 import { type VariantResult } from './results.js';
 
-const CONFIRMATIONS = 0.6;
+const CONFIRMATION_RATIO = 0.6;
 const TIMEOUT_MS = 5000;
 const DAEMONS_PER_CALLER = 4;
 
 /** One request, and what its caller was told. */
-export interface Asked {
+export interface SentRequest {
   readonly token: string;
   readonly isConfirmation: boolean;
   readonly result: CallerResult;
@@ -28,77 +28,81 @@
 }
 
 /** Sends a mix until `isOver`, and waits for all answers. */
-export async function sendMix(options: MixOptions, isOver: () => boolean): Promise<Asked[]> {
-  const pending: Promise<Asked>[] = [];
+export async function sendMix(options: MixOptions, isOver: () => boolean): Promise<SentRequest[]> {
+  const pending: Promise<SentRequest>[] = [];
   for (let i = 0; !isOver(); i++) {
-    pending.push(ask(options, `${options.name}-${String(i)}`));
+    pending.push(sendOne(options, `${options.name}-${String(i)}`));
     await options.clock.sleep(1000 / options.ratePerSecond);
   }
   return Promise.all(pending);
 }
 
 /** One client with a few daemons of its own choice, as they are there just now. */
-async function ask({ clock, random, urls }: MixOptions, token: string): Promise<Asked> {
+async function sendOne({ clock, random, urls }: MixOptions, token: string): Promise<SentRequest> {
   const daemons = urls()
     .sort(() => random() - 0.5)
     .slice(0, DAEMONS_PER_CALLER);
-  const isConfirmation = random() < CONFIRMATIONS;
+  const isConfirmation = random() < CONFIRMATION_RATIO;
   await using caller = new Caller({ daemons, clock, random });
   const call = isConfirmation
     ? { method: 'POST', path: '/receiving/receipts', idempotent: false, body: '{}' }
     : { method: 'GET', path: '/history/trucks/7?size=500', idempotent: true };
   const result = await caller.send({ ...call, timeoutMs: TIMEOUT_MS, headers: { 'x-token': token } });
-  return { token, isConfirmation, result, body: parse(result.body) };
+  return { token, isConfirmation, result, body: parseBody(result.body) };
 }
 
-function parse(body: Buffer): Asked['body'] {
+function parseBody(body: Buffer): SentRequest['body'] {
   try {
-    return JSON.parse(body.toString('utf8')) as Asked['body'];
+    return JSON.parse(body.toString('utf8')) as SentRequest['body'];
   } catch {
     return undefined;
   }
 }
 
 /** Compares what callers were told with what the upstreams did. */
-export function compare(asked: readonly Asked[], ledger: readonly Effect[], seconds: number): VariantResult {
-  const runs = new Map<string, { started: number; done: number }>();
-  const runsById = new Map<string, number>();
+export function toVariantResult(
+  asked: readonly SentRequest[],
+  ledger: readonly Effect[],
+  seconds: number,
+): VariantResult {
+  const executions = new Map<string, { started: number; done: number }>();
+  const attemptsById = new Map<string, number>();
   for (const { token, route, done, requestId } of ledger) {
-    runsById.set(requestId, (runsById.get(requestId) ?? 0) + 1);
+    attemptsById.set(requestId, (attemptsById.get(requestId) ?? 0) + 1);
     if (route !== 'receiving.confirm' && route !== 'history.read') continue;
-    const known = runs.get(token) ?? { started: 0, done: 0 };
-    runs.set(token, { started: known.started + 1, done: known.done + (done ? 1 : 0) });
+    const known = executions.get(token) ?? { started: 0, done: 0 };
+    executions.set(token, { started: known.started + 1, done: known.done + (done ? 1 : 0) });
   }
   const confirmations = asked.filter(a => a.isConfirmation);
   const answered = asked.filter(a => a.result.outcome === 'answered');
   const whole = answered.filter(a => a.body?.token === a.token);
-  const runsOf = (a: Asked) => runs.get(a.token) ?? { started: 0, done: 0 };
+  const executionsOf = (a: SentRequest) => executions.get(a.token) ?? { started: 0, done: 0 };
   const confirmed = confirmations.filter(a => a.result.outcome === 'answered');
   return {
-    goodput: byClass(whole, seconds),
-    offered: byClass(asked, seconds),
+    goodput: ratesByClass(whole, seconds),
+    offered: ratesByClass(asked, seconds),
     answeredShare: {
       confirmation: confirmed.length / confirmations.length,
       interactive: (answered.length - confirmed.length) / (asked.length - confirmations.length),
     },
-    outcomes: outcomesOf(asked),
-    triesPerRequestMax: Math.max(0, ...runsById.values()),
-    notRunButRan: asked.filter(a => a.result.outcome === 'not-run' && runsOf(a).started > 0).length,
-    doubleEffects: confirmations.filter(a => runsOf(a).done > 1).length,
-    answeredWithoutEffect: confirmed.filter(a => runsOf(a).done === 0).length,
+    outcomes: countOutcomes(asked),
+    triesPerRequestMax: Math.max(0, ...attemptsById.values()),
+    notRunButRan: asked.filter(a => a.result.outcome === 'not-run' && executionsOf(a).started > 0).length,
+    doubleEffects: confirmations.filter(a => executionsOf(a).done > 1).length,
+    answeredWithoutEffect: confirmed.filter(a => executionsOf(a).done === 0).length,
     incompleteAnswers: answered.filter(a => a.body?.children?.length !== 1).length,
     mismatchedAnswers: answered.filter(a => a.body !== undefined && a.body.token !== a.token).length,
     unknownShare: asked.filter(a => a.result.outcome === 'unknown').length / asked.length,
   };
 }
 
-function byClass(asked: readonly Asked[], seconds: number): VariantResult['goodput'] {
+function ratesByClass(asked: readonly SentRequest[], seconds: number): VariantResult['goodput'] {
   const confirmations = asked.filter(a => a.isConfirmation).length / seconds;
   const total = asked.length / seconds;
   return { total, byClass: { confirmation: confirmations, interactive: total - confirmations } };
 }
 
-function outcomesOf(asked: readonly Asked[]): VariantResult['outcomes'] {
+function countOutcomes(asked: readonly SentRequest[]): VariantResult['outcomes'] {
   const counted: VariantResult['outcomes'] = {};
   for (const { isConfirmation, result } of asked) {
     const row = (counted[isConfirmation ? 'confirmation' : 'interactive'] ??= {});
--- a/packages/bench/src/results.ts
+++ b/packages/bench/src/results.ts
@@ -59,21 +59,21 @@
   'invariantViolations',
 ] as const;
 const RECOVERY_STEP_MS = 250;
-const NORMAL = 0.95;
-const SETTLE_MS = 1000;
+const NORMAL_RATIO = 0.95;
+const RECOVERY_WINDOW_MS = 1000;
 const INVERSION_MARGIN = 0.1;
 
 /** Rate of whole answers by class between two times. */
-export function rates(samples: readonly Sample[], from: number, to: number, whole: boolean) {
+export function requestRates(samples: readonly Sample[], from: number, to: number, whole: boolean) {
   const seconds = (to - from) / 1000;
-  const counted = samples.filter(s => s.at >= from && s.at < to && (!whole || s.whole));
+  const counted = samples.filter(s => s.at >= from && s.at < to && (!whole || s.isComplete));
   const of = (name: ChainClass) => counted.filter(s => s.className === name).length / seconds;
   const byClass = Object.fromEntries(CLASSES.map(name => [name, of(name)]));
   return { total: counted.length / seconds, byClass };
 }
 
 /** How requests that were due between two times ended, by class. */
-export function outcomes(samples: readonly Sample[], from: number, to: number): VariantResult['outcomes'] {
+export function countOutcomes(samples: readonly Sample[], from: number, to: number): VariantResult['outcomes'] {
   const counted: VariantResult['outcomes'] = {};
   for (const { className, outcome, at } of samples) {
     if (at < from || at >= to) continue;
@@ -87,21 +87,22 @@
 export function recoverySeconds(samples: readonly Sample[], trigger: Trigger, end: number): number {
   const share = (from: number, to: number) => {
     const due = samples.filter(s => s.at >= from && s.at < to);
-    return due.length === 0 ? 1 : due.filter(s => s.whole).length / due.length;
+    return due.length === 0 ? 1 : due.filter(s => s.isComplete).length / due.length;
   };
-  for (let at = trigger.to; at + SETTLE_MS <= end; at += RECOVERY_STEP_MS) {
-    if (share(at, at + SETTLE_MS) >= NORMAL && share(at, end) >= NORMAL) return (at - trigger.to) / 1000;
+  for (let at = trigger.to; at + RECOVERY_WINDOW_MS <= end; at += RECOVERY_STEP_MS) {
+    if (share(at, at + RECOVERY_WINDOW_MS) >= NORMAL_RATIO && share(at, end) >= NORMAL_RATIO)
+      return (at - trigger.to) / 1000;
   }
   return -1;
 }
 
 /** Seconds in which the order of refusal was turned round. */
-export function inversions(samples: readonly Sample[], trigger: Trigger): number {
+export function countInversions(samples: readonly Sample[], trigger: Trigger): number {
   let count = 0;
   for (let at = trigger.from; at < trigger.to; at += 1000) {
     const shares = CLASSES.map(name => {
       const due = samples.filter(s => s.className === name && s.at >= at && s.at < at + 1000);
-      return due.length === 0 ? undefined : due.filter(s => s.whole).length / due.length;
+      return due.length === 0 ? undefined : due.filter(s => s.isComplete).length / due.length;
     }).filter(share => share !== undefined);
     if (shares.some((share, i) => (shares[i + 1] ?? 0) > share + INVERSION_MARGIN)) count++;
   }
@@ -109,32 +110,33 @@
 }
 
 /** Compares what callers were told with what the first service did. */
-export function truth(samples: readonly Sample[], ledger: readonly Effect[]) {
+export function compareWithLedger(samples: readonly Sample[], ledger: readonly Effect[]) {
   const ran = new Set(ledger.map(effect => effect.requestId));
-  const doneByToken = new Map<string, number>();
-  const runsById = new Map<string, number>();
+  const completedByToken = new Map<string, number>();
+  const attemptsById = new Map<string, number>();
   for (const { token, route, done, requestId } of ledger) {
-    if (done && route.endsWith('.critical')) doneByToken.set(token, (doneByToken.get(token) ?? 0) + 1);
-    runsById.set(requestId, (runsById.get(requestId) ?? 0) + 1);
+    if (done && route.endsWith('.critical'))
+      completedByToken.set(token, (completedByToken.get(token) ?? 0) + 1);
+    attemptsById.set(requestId, (attemptsById.get(requestId) ?? 0) + 1);
   }
   return {
     notRunButRan: samples.flatMap(s => s.notRunIds).filter(id => id !== '' && ran.has(id)).length,
-    doubleEffects: [...doneByToken.values()].filter(count => count > 1).length,
-    incompleteAnswers: samples.filter(s => s.outcome === 'answered' && !s.whole).length,
-    mismatchedAnswers: samples.filter(s => s.mismatched).length,
-    triesPerRequestMax: Math.max(0, ...runsById.values()),
+    doubleEffects: [...completedByToken.values()].filter(count => count > 1).length,
+    incompleteAnswers: samples.filter(s => s.outcome === 'answered' && !s.isComplete).length,
+    mismatchedAnswers: samples.filter(s => s.isMismatched).length,
+    triesPerRequestMax: Math.max(0, ...attemptsById.values()),
     unknownShare: samples.filter(s => s.outcome === 'unknown').length / Math.max(1, samples.length),
   };
 }
 
 /** Broken promises, as short sentences. */
-export function violationsOf(variant: string, result: VariantResult, mostTries: number): string[] {
+export function findViolations(variant: string, result: VariantResult, maxAttempts: number): string[] {
   const found: string[] = [];
   for (const name of MUST_BE_ZERO) {
     const count = result[name] ?? 0;
     if (count > 0) found.push(`${variant}: ${name} is ${String(count)}.`);
   }
-  if (result.triesPerRequestMax > mostTries)
+  if (result.triesPerRequestMax > maxAttempts)
     found.push(`${variant}: ${String(result.triesPerRequestMax)} tries of one request.`);
   return found;
 }
--- a/packages/bench/src/start.ts
+++ b/packages/bench/src/start.ts
@@ -4,8 +4,8 @@
 import { CallGraph, type Route } from '@cleatquay/settings';
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
-import { measureAdded } from './added.js';
-import { type Answered, ClassCounts, isWhole } from './classCounts.js';
+import { measureAddedLatency } from './added.js';
+import { type RequestResult, ClassStatistics, isCompleteResponse } from './classCounts.js';
 import { deployments, fileOf } from './deployments.js';
 import { Fleet } from './fleet.js';
 import { table } from './output.js';
@@ -45,15 +45,15 @@
 );
 await using fleet = await Fleet.start({ path: deployment.path, file, nodes, seed: argv.seed });
 process.stdout.write(`Sending ${String(REQUESTS)} requests, ${String(RATE_PER_SECOND)} a second.\n`);
-const counts = new ClassCounts(file.classes);
+const statistics = new ClassStatistics(file.classes);
 const callers = fleet.callerUrls.map(
   url => new Caller({ daemons: [url, ...fleet.callerUrls], clock, random }),
 );
 await sendMix();
-process.stdout.write(`${counts.table()}\n${await addedTable()}\n`);
+process.stdout.write(`${statistics.table()}\n${await addedLatencyTable()}\n`);
 for (const caller of callers) await caller[Symbol.asyncDispose]();
-if (!argv.once) await stayUp();
-process.exitCode = counts.isPerfect ? 0 : 1;
+if (!argv.once) await waitForInterrupt();
+process.exitCode = statistics.allSucceeded ? 0 : 1;
 
 async function sendMix(): Promise<void> {
   const sent: Promise<void>[] = [];
@@ -77,26 +77,28 @@
     headers: { 'x-token': token },
     ...(route.method === 'GET' ? {} : { body: JSON.stringify({ token }) }),
   });
-  const answered: Answered = {
+  const requestResult: RequestResult = {
     outcome: result?.outcome ?? 'unknown',
     ms: clock.now() - start,
-    whole: isWhole(result, token, route.name),
+    isComplete: isCompleteResponse(result, token, route.name),
   };
-  counts.add(route.class, answered);
+  statistics.add(route.class, requestResult);
 }
 
 /** What the daemons added, by pairs of requests in this run: straight to an upstream, then through a daemon. */
-async function addedTable(): Promise<string> {
-  const leaf = routes.find(route => route.idempotent && route.calls.length === 0 && route.method === 'GET');
-  if (!leaf) return '';
-  const { p50, p99 } = await measureAdded(fleet, leaf, clock);
+async function addedLatencyTable(): Promise<string> {
+  const leafRoute = routes.find(
+    route => route.idempotent && route.calls.length === 0 && route.method === 'GET',
+  );
+  if (!leafRoute) return '';
+  const { p50, p99 } = await measureAddedLatency(fleet, leafRoute, clock);
   return table(
     ['added by the daemons', 'p50 ms', 'p99 ms'],
-    [[`one call of ${leaf.name}`, p50.toFixed(2), p99.toFixed(2)]],
+    [[`one call of ${leafRoute.name}`, p50.toFixed(2), p99.toFixed(2)]],
   );
 }
 
-async function stayUp(): Promise<void> {
+async function waitForInterrupt(): Promise<void> {
   const [first] = fleet.nodes;
   const daemon = first?.addresses.operator ?? '';
   process.stdout.write(`\nUp until Ctrl-C. Try in another terminal:\n`);
