--- a/packages/bench/src/added.ts
+++ b/packages/bench/src/added.ts
@@ -1,4 +1,4 @@
-/** What the daemons add to a call, by pairs in one run. */
+/** Latency that the daemons add to a call, measured by pairs of direct and proxied requests. */
 import { type Clock } from '@cleatquay/clock';
 import { type Route } from '@cleatquay/settings';
 import { type RecordableHistogram, createHistogram } from 'node:perf_hooks';
@@ -6,21 +6,25 @@
 import { type Fleet, type FleetNode } from './fleet.js';
 
 const PAIRS = 400;
-/** Pairs that are not counted: the daemons' code is compiled while they run. */
+/** Pairs that are not counted, while the daemons' code is still being compiled by the JIT. */
 const WARM_UP_PAIRS = 600;
 const PAIR_INTERVAL_MS = 2;
 
-/** Percentiles of added time, ms. */
+/** Difference between the percentiles of proxied and direct latency, ms. */
 export interface AddedLatency {
   readonly p50: number;
   readonly p99: number;
 }
 
-/** Sends pairs for a leaf route: to an upstream itself, then by a daemon beside which it does not stand. */
+/**
+ * Sends pairs of requests for a leaf route: one directly to an upstream, then one through a daemon that has no local
+ * upstream of that service.
+ */
 export async function measureAddedLatency(fleet: Fleet, route: Route, clock: Clock): Promise<AddedLatency> {
   const upstream = fleet.nodes.find(node => node.service === route.service);
   const ingress = fleet.nodes.find(node => node.service !== route.service);
-  if (!upstream || !ingress) throw new Error(`No upstream of ${route.service}, or no other.`);
+  if (!upstream || !ingress)
+    throw new Error(`The fleet needs an upstream of ${route.service} and one of another service.`);
   const nodes = fleet.nodes.filter(node => node.service === route.service);
   await Promise.all(nodes.map(node => fleet.behave(node, { serviceMs: 0 })));
   const direct = new Pool(`http://${upstream.upstreamAddress}`);
--- a/packages/bench/src/chain.ts
+++ b/packages/bench/src/chain.ts
@@ -2,9 +2,9 @@
 import { type OperatorFile, checkOperatorFile } from '@cleatquay/settings';
 import { type FleetOptions } from './fleet.js';
 
-/** Most important first, as in the operators' files. */
+/** Highest priority first, as in operator files. */
 export const CLASSES = ['critical', 'normal', 'bulk'] as const;
-/** A class of the chain's entry routes. */
+/** A priority class of the ingress routes. */
 export type ChainClass = (typeof CLASSES)[number];
 
 const FAILURE_DOMAINS = ['domain-a', 'domain-b', 'domain-c'];
@@ -12,22 +12,22 @@
 const OTHER_SERVICE = { slots: 64, serviceMs: 8 };
 const BOTTLENECK = { slots: 8, serviceMs: 160 };
 
-/** Upstreams of each service: fewer in a deep chain, so that the machine's processors are not what is short. */
+/** Upstreams per service: fewer in a deep chain, so that the bottleneck and not the processors of the machine limits it. */
 function upstreamsPerService(depth: number): number {
   return depth > 5 ? 2 : 3;
 }
 
-/** Requests a second that the bottleneck of a chain can answer. */
+/** Capacity of the bottleneck of a chain, requests a second. */
 export function chainCapacity(depth: number): number {
   return (upstreamsPerService(depth) * BOTTLENECK.slots * 1000) / BOTTLENECK.serviceMs;
 }
 
-/** Name of the service at a depth, from 1. */
+/** Name of the service at a depth; 1 is the ingress service. */
 export function serviceAt(depth: number): string {
   return `s${String(depth)}`;
 }
 
-/** The operators' file of a chain; `fanOut` calls of each service go to the next. */
+/** The operator file of a chain; each request to a service makes `fanOut` calls to the next. */
 export function chainFile(depth: number, fanOut = 1): OperatorFile {
   const services: Record<string, unknown> = {};
   for (let at = 1; at <= depth; at++) {
@@ -52,7 +52,7 @@
   return checkOperatorFile(file);
 }
 
-/** The VMs of a chain: each service has one in each of its failure domains. */
+/** The VMs of a chain: for each service, one VM in each of two or three failure domains. */
 export function chainNodes(depth: number): FleetOptions['nodes'] {
   const upstreams = upstreamsPerService(depth);
   return Array.from({ length: depth * upstreams }, (_, i) => {
--- a/packages/bench/src/childProcess.ts
+++ b/packages/bench/src/childProcess.ts
@@ -1,4 +1,4 @@
-/** A started process of ours, and its first line of JSON. */
+/** Child processes that report readiness with a line of JSON and never outlive this process. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { createInterface } from 'node:readline';
 
@@ -6,23 +6,23 @@
 const MAX_HEAP_MB = 512;
 const SIGTERM_EXIT_CODE = 143;
 
-/** Those that run; none of them outlives this process, however it ends. */
+/** Running children, killed when this process exits or receives SIGTERM or SIGHUP. */
 const runningChildren = new Set<ChildProcess>();
 process.once('exit', () => runningChildren.forEach(child => child.kill('SIGKILL')));
 for (const signal of ['SIGTERM', 'SIGHUP'] as const)
   process.once(signal, () => process.exit(SIGTERM_EXIT_CODE));
 
-/** Owns one process; disposing kills it. */
+/** One child process; disposing kills it. */
 export class ManagedProcess implements AsyncDisposable {
   private constructor(
     private readonly child: ChildProcess,
-    /** The first JSON line of its output that `isReady` took. */
+    /** The first JSON line of its output that has the field that signals readiness. */
     readonly ready: Record<string, unknown>,
-    /** Resolves with the exit code, or the signal's name. */
+    /** Resolves with the exit code or the name of the signal that ended it. */
     readonly exited: Promise<number | string>,
   ) {}
 
-  /** Starts a node program and waits until it says that it is ready. */
+  /** Starts a Node.js script and waits until it prints a JSON line with the field `readyField`. */
   static async start(script: string, args: string[], readyField: string): Promise<ManagedProcess> {
     const options = [`--max-old-space-size=${String(MAX_HEAP_MB)}`, script, ...args];
     const child = spawn(process.execPath, options, { stdio: ['ignore', 'pipe', 'pipe'] });
@@ -43,9 +43,11 @@
         const message = JSON.parse(line) as Record<string, unknown>;
         if (readyField in message) resolve(message);
       });
-      void exited.then(how => reject(new Error(`${script} ended with ${String(how)}: ${stderrTail}`)));
+      void exited.then(exit =>
+        reject(new Error(`${script} exited before it was ready (${String(exit)}): ${stderrTail}`)),
+      );
       setTimeout(
-        () => reject(new Error(`${script} did not get ready: ${stderrTail}`)),
+        () => reject(new Error(`${script} was not ready in time: ${stderrTail}`)),
         START_TIMEOUT_MS,
       ).unref();
     });
@@ -61,7 +63,7 @@
     return this.child.pid ?? 0;
   }
 
-  /** Sends a signal to this process only. */
+  /** Sends a signal to this process only, not to its process group. */
   signal(name: NodeJS.Signals): void {
     this.child.kill(name);
   }
--- a/packages/bench/src/classCounts.ts
+++ b/packages/bench/src/classCounts.ts
@@ -1,13 +1,13 @@
-/** Counts answers by class, and checks that each is whole and the caller's own. */
+/** Outcome counts and latencies by class, with a check that each response is complete and belongs to its request. */
 import { type CallerResult } from '@cleatquay/caller';
 import { type RecordableHistogram, createHistogram } from 'node:perf_hooks';
 import { table } from './output.js';
 
-/** How one request went. */
+/** Outcome of one request. */
 export interface RequestResult {
   readonly outcome: CallerResult['outcome'];
   readonly ms: number;
-  /** Complete, correct, and for this request. */
+  /** Whether the response is complete and belongs to this request. */
   readonly isComplete: boolean;
 }
 
@@ -17,7 +17,7 @@
   latency: RecordableHistogram;
 }
 
-/** Whether an answer is complete and belongs to the request with this token. */
+/** Whether a response is complete and belongs to the request with this token. */
 export function isCompleteResponse(result: CallerResult | undefined, token: string, route: string): boolean {
   if (result?.status !== 200) return false;
   try {
@@ -32,7 +32,6 @@
   }
 }
 
-/** Counts by class. */
 export class ClassStatistics {
   private readonly rows = new Map<string, Row>();
 
@@ -43,28 +42,27 @@
     }
   }
 
-  /** Whether every request got its whole answer. */
+  /** Whether every request got its complete response. */
   get allSucceeded(): boolean {
-    return [...this.rows.values()].every(({ counts, incomplete: broken }) => {
-      return broken === 0 && counts['not-run'] + counts.unknown + counts.failed === 0;
+    return [...this.rows.values()].every(({ counts, incomplete }) => {
+      return incomplete === 0 && counts['not-run'] + counts.unknown + counts.failed === 0;
     });
   }
 
-  /** Adds one request. */
-  add(className: string, { outcome, ms, isComplete: whole }: RequestResult): void {
+  add(className: string, { outcome, ms, isComplete }: RequestResult): void {
     const row = this.rows.get(className);
     if (!row) return;
     row.counts[outcome]++;
-    if (outcome === 'answered' && !whole) row.incomplete++;
+    if (outcome === 'answered' && !isComplete) row.incomplete++;
     row.latency.record(Math.max(1, Math.round(ms * 1000)));
   }
 
-  /** For people. */
+  /** A table for the terminal. */
   table(): string {
-    const head = ['class', 'answered', 'not run', 'unknown', 'failed', 'not whole', 'p50 ms', 'p99 ms'];
-    const rows = [...this.rows].map(([name, { counts, incomplete: broken, latency }]) => {
+    const head = ['class', 'answered', 'not run', 'unknown', 'failed', 'incomplete', 'p50 ms', 'p99 ms'];
+    const rows = [...this.rows].map(([name, { counts, incomplete, latency }]) => {
       const ms = [50, 99].map(p => (latency.percentile(p) / 1000).toFixed(1));
-      return [name, counts.answered, counts['not-run'], counts.unknown, counts.failed, broken, ...ms];
+      return [name, counts.answered, counts['not-run'], counts.unknown, counts.failed, incomplete, ...ms];
     });
     return table(head, rows);
   }
--- a/packages/bench/src/daemonGroup.ts
+++ b/packages/bench/src/daemonGroup.ts
@@ -1,4 +1,4 @@
-/** Daemons without upstream processes, for measuring what control alone costs. */
+/** Daemons without upstream processes, to measure what the control plane alone costs. */
 import { SystemClock } from '@cleatquay/clock';
 import { ConfigurationStore } from '@cleatquay/configuration';
 import { HttpStore } from '@cleatquay/store';
@@ -12,25 +12,25 @@
 const MAX_CONCURRENT_STARTS = 8;
 const MAX_SEEDS = 3;
 
-/** What a daemon has used since its start. */
+/** Resources that a daemon has used since its start. */
 export interface ResourceUsage {
   readonly cpuSeconds: number;
-  /** Gossip sent and received, and configuration received. */
+  /** Gossip sent and received, plus configuration received. */
   readonly bytes: number;
   readonly residentMb: number;
 }
 
-/** Owns the daemons and the platform's stand-in. */
+/** Starts and owns the daemons and the stand-in of the platform; disposing kills them. */
 export class DaemonGroup implements AsyncDisposable {
   private readonly daemons: ManagedProcess[] = [];
 
   private constructor(private readonly platform: ManagedProcess) {}
 
-  /** Starts `count` daemons in three failure domains, with Frostline's configuration in force. */
+  /** Starts `count` daemons in three failure domains, with the configuration of the deployment frostline. */
   static async start(count: number): Promise<DaemonGroup> {
     const group = new DaemonGroup(await ManagedProcess.start(PLATFORM, [], 'url'));
     const deployment = deployments.frostline;
-    if (!deployment) throw new Error('The deployment is missing.');
+    if (!deployment) throw new Error('The deployment frostline is missing.');
     await using platform = new HttpStore(group.platformUrl);
     await new ConfigurationStore(platform, new SystemClock()).apply(fileOf(deployment));
     await group.startDaemon(deployment.failureDomains, 0);
@@ -45,12 +45,12 @@
     return String(this.platform.ready.url);
   }
 
-  /** ip:port for callers. */
+  /** Address of the caller API, as `ip:port`. */
   callerAddress(index: number): string {
     return this.addresses(index).caller;
   }
 
-  /** Announces an upstream at every daemon. */
+  /** Announces an upstream of `alarms` at every daemon. */
   async announceAll(address: string): Promise<void> {
     await Promise.all(
       this.daemons.map((_, index) => this.announceOne(index, address).catch(() => undefined)),
@@ -69,12 +69,14 @@
     await response.body.dump();
   }
 
-  /** Counters of every daemon, from its metrics. */
+  /** Resource usage of every daemon, from its metrics. */
   async resourceUsage(): Promise<ResourceUsage[]> {
     return Promise.all(this.daemons.map((_, index) => this.resourceUsageOf(index)));
   }
 
-  /** When each daemon put the generation in force, ms since 1970; undefined where it is not. */
+  /**
+   * When each daemon adopted its active configuration, ms since 1970; undefined if that is older than the given generation.
+   */
   async adoptionTimes(generation: number): Promise<(number | undefined)[]> {
     return Promise.all(
       this.daemons.map(async (_, index) => {
--- a/packages/bench/src/deployments.ts
+++ b/packages/bench/src/deployments.ts
@@ -1,24 +1,25 @@
-/** The two deployments that ship with the project, as the launcher builds them on loopback. */
+/** The two deployments that ship with the project, and how many upstreams the bench starts for each on loopback. */
 import { type OperatorFile, readOperatorFile } from '@cleatquay/settings';
 import { fileURLToPath } from 'node:url';
 
-/** How many upstreams of each service, and in which failure domains. */
+/** An operator file, and the upstreams to start for it. */
 export interface Deployment {
   readonly name: string;
-  /** Path of the operators' file. */
+  /** Path of the operator file. */
   readonly path: string;
   readonly failureDomains: readonly string[];
+  /** Number of upstreams by service. */
   readonly upstreams: Readonly<Record<string, number>>;
-  /** Mean service time of each service's stand-in, ms. */
+  /** Mean service time of the stand-in upstreams by service, ms. */
   readonly serviceMs: Readonly<Record<string, number>>;
 }
 
-/** Path of a file of the repository. */
+/** Absolute path of a file of the repository, given relative to its root. */
 export function sharedFile(name: string): string {
   return fileURLToPath(new URL(`../../../${name}`, import.meta.url));
 }
 
-/** By name. */
+/** Deployments by name. */
 export const deployments: Readonly<Record<string, Deployment>> = {
   frostline: {
     name: 'frostline',
@@ -36,7 +37,7 @@
   },
 };
 
-/** The operators' file of a deployment. */
+/** Reads the operator file of a deployment. */
 export function fileOf(deployment: Deployment): OperatorFile {
   return readOperatorFile(deployment.path);
 }
--- a/packages/bench/src/experiments/capacity.ts
+++ b/packages/bench/src/experiments/capacity.ts
@@ -1,4 +1,4 @@
-/** Measures the slopes of docs/CAPACITY.md: what control costs a daemon, by fleet size, change and member. */
+/** Measures the cost figures of docs/CAPACITY.md: control-plane cost of a daemon by fleet size, change and member. */
 import { SystemClock } from '@cleatquay/clock';
 import { ConfigurationStore } from '@cleatquay/configuration';
 import { MemberTable } from '@cleatquay/membership';
@@ -23,29 +23,29 @@
 const SIMULATED_CHANGES = 20;
 const ANNOUNCE_INTERVAL_MS = 1000;
 
-/** Per-daemon figures of a fleet of real processes that carries no calls. */
+/** Mean cost per daemon in a fleet of real processes without calls. */
 export interface FleetCost {
   readonly daemons: number;
-  /** Percent of a core, idle and with a change of configuration every three seconds. */
+  /** Percent of a core: idle, and with a configuration change every three seconds. */
   readonly idleCpu: number;
   readonly changingCpu: number;
-  /** Bytes a second sent and received, gossip and configuration. */
+  /** Bytes a second: gossip sent and received, plus configuration received. */
   readonly idleBytes: number;
   readonly changingBytes: number;
   readonly residentMb: number;
-  /** From acceptance until in force at 99 in 100 daemons, and at all, ms; the slowest change. */
+  /** Time from acceptance of a change until 99% and all daemons have adopted it, ms; for the slowest change. */
   readonly distributionP99Ms: number;
   readonly distributionMaxMs: number;
 }
 
-/** Gossip of simulated members: bytes a second each sends when nothing changes, and bytes for one change. */
+/** Gossip cost per simulated member: bytes sent a second when nothing changes, and bytes sent for one change. */
 export interface GossipCost {
   readonly members: number;
   readonly idleBytes: number;
   readonly bytesPerChange: number;
 }
 
-/** Starts `count` daemons with an upstream each and measures them. */
+/** Starts `count` daemons, announces an upstream at each, and measures their cost. */
 export async function measureFleet(count: number): Promise<FleetCost> {
   const clock = new SystemClock();
   await using group = await DaemonGroup.start(count);
@@ -78,10 +78,10 @@
   }
 }
 
-/** Applies one change; gives the times until it was in force at each daemon, sorted. */
+/** Applies one change, and returns the sorted times until each daemon adopted it; infinite where it was not adopted. */
 async function applyChange(group: DaemonGroup, clock: SystemClock, slots: number): Promise<number[]> {
   const deployment = deployments.frostline;
-  if (!deployment) throw new Error('The deployment is missing.');
+  if (!deployment) throw new Error('The deployment frostline is missing.');
   const file = structuredClone(fileOf(deployment));
   const alarms = file.services.alarms;
   if (alarms) alarms.slots = slots;
@@ -111,7 +111,7 @@
   };
 }
 
-/** Gossip among members in this process, by simulated time. */
+/** Measures gossip among members in this process, in simulated time. */
 export async function measureGossip(members: number): Promise<GossipCost> {
   await using network = new SimulatedNetwork('capacity');
   const addresses = simulatedAddresses(members);
@@ -137,16 +137,17 @@
   };
 }
 
-/** Bytes of heap that one known member costs. */
+/** Heap bytes per member in the member table. */
 export function measureMemberBytes(): number {
   const heap = () => {
     globalThis.gc?.();
     return process.memoryUsage().heapUsed;
   };
   const before = heap();
-  const known = new MemberTable();
-  for (const address of simulatedAddresses(TABLE_MEMBERS)) known.put(Object.freeze(createMember(address)));
-  const bytes = (heap() - before) / known.size;
+  const memberTable = new MemberTable();
+  for (const address of simulatedAddresses(TABLE_MEMBERS))
+    memberTable.put(Object.freeze(createMember(address)));
+  const bytes = (heap() - before) / memberTable.size;
   return bytes;
 }
 
@@ -168,7 +169,7 @@
   };
 }
 
-/** Processor time of the two daemons of a call, ms: a fleet with load less the same without. */
+/** Processor time per call of the two daemons that handle it, ms. */
 export interface CallCost {
   readonly ingressMs: number;
   readonly upstreamDaemonMs: number;
@@ -177,7 +178,7 @@
 const CALLS = 4000;
 const CONCURRENCY = 4;
 
-/** Sends calls over two daemons and takes the processor time that they used. */
+/** Sends calls through two daemons and measures the processor time that they use. */
 export async function measureCall(): Promise<CallCost> {
   await using group = await DaemonGroup.start(2);
   const server = (await import('node:http')).createServer((_request, response) => response.end('{}'));
@@ -201,19 +202,19 @@
   return { ingressMs: ms(0), upstreamDaemonMs: ms(1) };
 }
 
-/** All slopes, as tables. */
+/** Runs all measurements and logs their figures as tables. */
 export async function measureCapacity(sizes: readonly number[], log: (line: string) => void): Promise<void> {
   const calls = await measureCall();
   log(
     table(
       ['per call', 'processor ms'],
       [
-        ['entry', calls.ingressMs.toFixed(3)],
-        ['beside the upstream', calls.upstreamDaemonMs.toFixed(3)],
+        ['ingress daemon', calls.ingressMs.toFixed(3)],
+        ['daemon of the upstream', calls.upstreamDaemonMs.toFixed(3)],
       ],
     ),
   );
-  log(`One known member: ${measureMemberBytes().toFixed(0)} bytes of heap.`);
+  log(`One entry of the member table: ${measureMemberBytes().toFixed(0)} bytes of heap.`);
   const gossip: (string | number)[][] = [];
   for (const members of [30, 100, 300]) {
     const cost = await measureGossip(members);
@@ -237,8 +238,8 @@
     'idle B/s',
     'changing B/s',
     'resident MB',
-    'spread p99 ms',
-    'spread max ms',
+    'distribution p99 ms',
+    'distribution max ms',
   ];
   log(table(head, fleets));
 }
--- a/packages/bench/src/experiments/fleetRuns.ts
+++ b/packages/bench/src/experiments/fleetRuns.ts
@@ -1,4 +1,4 @@
-/** Runs of a whole fleet: a failure domain that is cut off, and every VM replaced in turn. */
+/** Experiments on a whole fleet: a partitioned failure domain, and a rolling replacement of all VMs. */
 import { type Clock, SystemClock, seededRandom } from '@cleatquay/clock';
 import { type Fleet, type FleetNode } from '../fleet.js';
 import { type SentRequest, toVariantResult, sendMix } from '../mixedLoad.js';
@@ -9,14 +9,14 @@
 const STABILISE_MS = 3000;
 const SETTLE_MS = 2000;
 
-/** What one of these runs gives: the usual figures, and the share answered in each failure domain. */
+/** Figures of a run, and the ratio of answered requests. */
 export interface FleetRunResult {
   readonly figures: VariantResult;
-  /** By failure domain, or `all`. */
+  /** Ratio of answered requests by failure domain, or under the key `all`. */
   readonly answered: Record<string, number>;
 }
 
-/** Cuts one failure domain off from the others, and everybody from the platform, for `seconds`. */
+/** Partitions one failure domain from the others and takes the platform down, for `seconds`. */
 export async function runPartition(seed: string, seconds: number): Promise<FleetRunResult> {
   await using fleet = await startThreeDomains(seed);
   const clock = new SystemClock();
@@ -26,19 +26,19 @@
   await setDomainPartition(fleet, partitionedDomain, true);
   await fleet.disturbPlatform({ down: true });
   const end = clock.now() + seconds * 1000;
-  const asked = await Promise.all(
+  const requests = await Promise.all(
     domains.map(domain => sendMix(mixOptions(fleet, clock, seed, domain), () => clock.now() >= end)),
   );
   await setDomainPartition(fleet, partitionedDomain, false);
   await fleet.disturbPlatform({ down: false });
   await fleet.settled();
-  const compared = toVariantResult(asked.flat(), readLedgers(fleet, fleet.nodes), seconds);
+  const compared = toVariantResult(requests.flat(), readLedgers(fleet, fleet.nodes), seconds);
   const figures = { ...compared, invariantViolations: await fleet.invariantViolations() };
-  const answered = Object.fromEntries(domains.map((domain, i) => [domain, answeredShare(asked[i] ?? [])]));
+  const answered = Object.fromEntries(domains.map((domain, i) => [domain, answeredShare(requests[i] ?? [])]));
   return { figures, answered };
 }
 
-/** Ends and replaces one VM after the other under load, each with a drain. */
+/** Replaces all VMs one by one under load, each with a drain. */
 export async function runRollingReplace(seed: string): Promise<FleetRunResult> {
   await using fleet = await startThreeDomains(seed);
   const clock = new SystemClock();
@@ -48,14 +48,14 @@
   const sending = sendMix(mixOptions(fleet, clock, seed), () => isOver);
   for (const node of [...fleet.nodes]) everyNode.push(await replaceWithDrain(fleet, node));
   isOver = true;
-  const asked = await sending;
+  const requests = await sending;
   await clock.sleep(SETTLE_MS);
-  const compared = toVariantResult(asked, readLedgers(fleet, everyNode), (clock.now() - start) / 1000);
+  const compared = toVariantResult(requests, readLedgers(fleet, everyNode), (clock.now() - start) / 1000);
   const figures = { ...compared, invariantViolations: await fleet.invariantViolations() };
-  return { figures, answered: { all: answeredShare(asked) } };
+  return { figures, answered: { all: answeredShare(requests) } };
 }
 
-/** First its successor, then the end of the daemon, then that of the upstream. */
+/** Starts the replacement first, then stops the old daemon with a drain, then kills its upstream. */
 async function replaceWithDrain(fleet: Fleet, node: FleetNode): Promise<FleetNode> {
   const { service, failureDomain } = node;
   const replacement = await fleet.startNode({ service, failureDomain, behaviour: UPSTREAM_BEHAVIOUR });
@@ -86,6 +86,6 @@
   return nodes.flatMap(node => fleet.ledger(node));
 }
 
-function answeredShare(asked: readonly SentRequest[]): number {
-  return asked.filter(a => a.result.outcome === 'answered').length / Math.max(1, asked.length);
+function answeredShare(requests: readonly SentRequest[]): number {
+  return requests.filter(a => a.result.outcome === 'answered').length / Math.max(1, requests.length);
 }
--- a/packages/bench/src/experiments/index.ts
+++ b/packages/bench/src/experiments/index.ts
@@ -1,40 +1,39 @@
-/** The experiments by name. */
+/** All experiments of the bench, by name. */
 import { type ExperimentResult, findViolations } from '../results.js';
 import { type OverloadScenario, VARIANTS, runOverload } from './overload.js';
 import { type FleetRunResult, runPartition, runRollingReplace } from './fleetRuns.js';
 import { runTruth } from './truth.js';
 
-/** One experiment. */
 export interface Experiment {
   readonly summary: string;
   readonly run: (options: ExperimentOptions) => Promise<ExperimentResult>;
 }
 
-/** What the command line gives. */
+/** Options from the command line. */
 export interface ExperimentOptions {
   readonly name: string;
   readonly seed: string;
   readonly variants: readonly string[];
-  /** Length of the experiments that have no fixed one, s. */
+  /** Duration of the experiments that have no fixed one, seconds. */
   readonly seconds: number;
   readonly log: (line: string) => void;
 }
 
 const MAX_ATTEMPTS = 4;
-/** Beyond this the figures tell of the machine. */
+/** Above this utilisation the machine, not the upstreams, limits the figures. */
 const MAX_PROCESSOR_USE = 0.85;
 
-function overloadExperiment(summary: string, shape: OverloadScenario): Experiment {
+function overloadExperiment(summary: string, scenario: OverloadScenario): Experiment {
   return {
     summary,
     run: async ({ name, seed, variants, log }) => {
       const result: ExperimentResult = { experiment: name, seed, variants: {}, violations: [] };
       for (const variant of variants.length > 0 ? variants : Object.keys(VARIANTS)) {
         log(`Running ${name}, ${variant}.`);
-        const figures = await runOverload(shape, variant, seed);
+        const figures = await runOverload(scenario, variant, seed);
         result.variants[variant] = figures;
         if ((figures.processorUse ?? 0) > MAX_PROCESSOR_USE)
-          log(`${variant}: the processor was short, not the upstreams.`);
+          log(`${variant}: the machine's processors were the bottleneck, not the upstreams.`);
         if (variant !== 'unprotected')
           result.violations.push(...findViolations(variant, figures, MAX_ATTEMPTS));
       }
@@ -43,9 +42,10 @@
   };
 }
 
-/** Callers told the truth, without faults and with one a second. */
+/** Checks that outcomes reported to callers are true, without faults and with one fault a second on average. */
 const truth: Experiment = {
-  summary: 'random kills, freezes, cuts and outages around confirmations; callers compared with ledgers',
+  summary:
+    "random kills, freezes, partitions and outages; compares outcomes seen by callers with the upstreams' ledgers",
   run: async ({ name, seed, variants, seconds, log }) => {
     const result: ExperimentResult = { experiment: name, seed, variants: {}, violations: [] };
     for (const variant of variants.length > 0 ? variants : ['calm', 'faults']) {
@@ -54,13 +54,13 @@
       result.variants[variant] = figures;
       result.violations.push(...findViolations(variant, figures, MAX_ATTEMPTS));
       if (variant === 'calm' && figures.unknownShare > 0)
-        result.violations.push('calm: callers were told "unknown".');
+        result.violations.push('calm: callers got the outcome "unknown".');
     }
     return result;
   },
 };
 
-/** A run of a fleet, in which each part has to answer a share of its requests. */
+/** A run of a whole fleet, each part of which must answer a minimum ratio of its requests. */
 function fleetExperiment(
   summary: string,
   minAnsweredShare: number,
@@ -84,37 +84,39 @@
   };
 }
 
-/** All of them. */
 export const experiments: Readonly<Record<string, Experiment>> = {
-  steady: overloadExperiment('85% load, nothing goes wrong', {
+  steady: overloadExperiment('85% load without faults', {
     depth: 3,
     demand: 0.85,
     slowFactor: 1,
     normalDemand: 0.85,
   }),
-  surge: overloadExperiment('three times the capacity is asked for', { depth: 3, demand: 3, slowFactor: 1 }),
+  surge: overloadExperiment('demand is three times the capacity', { depth: 3, demand: 3, slowFactor: 1 }),
   'deep-slowdown': overloadExperiment('the deepest of four services slows down threefold', {
     depth: 4,
     demand: 0.7,
     slowFactor: 3,
   }),
-  'slowdown-and-surge': overloadExperiment('the deepest of four slows down twofold while demand doubles', {
-    depth: 4,
-    demand: 1.5,
-    slowFactor: 2,
-  }),
-  'slowdown-and-surge-7': overloadExperiment('the same, seven deep', {
+  'slowdown-and-surge': overloadExperiment(
+    'the deepest of four services slows down twofold while demand doubles',
+    {
+      depth: 4,
+      demand: 1.5,
+      slowFactor: 2,
+    },
+  ),
+  'slowdown-and-surge-7': overloadExperiment('the same with seven services', {
     depth: 7,
     demand: 1.5,
     slowFactor: 2,
   }),
   truth,
   partition: fleetExperiment(
-    'one of three failure domains is cut off, and all from the platform',
+    'one of three failure domains is partitioned from the others, and the platform is down',
     0.95,
     runPartition,
   ),
-  'rolling-replace': fleetExperiment('every VM is replaced in turn under load', 1, runRollingReplace),
+  'rolling-replace': fleetExperiment('all VMs are replaced one by one under load', 1, runRollingReplace),
   'upstream-kill': overloadExperiment('one of three upstreams of the deepest service is killed', {
     depth: 3,
     demand: 0.7,
@@ -122,7 +124,7 @@
     injectFault: async (_fleet, [first]) => Promise.resolve(first?.upstream.signal('SIGKILL')),
   }),
   'gray-upstream': overloadExperiment(
-    'one of three upstreams of the deepest service answers ten times slower',
+    'one of three upstreams of the deepest service responds ten times slower',
     {
       depth: 3,
       demand: 0.5,
@@ -133,11 +135,14 @@
       },
     },
   ),
-  'platform-outage-under-surge': overloadExperiment('a surge while the platform gives no answers', {
-    depth: 3,
-    demand: 3,
-    slowFactor: 1,
-    injectFault: fleet => fleet.disturbPlatform({ down: true }),
-    clearFault: fleet => fleet.disturbPlatform({ down: false }),
-  }),
+  'platform-outage-under-surge': overloadExperiment(
+    'demand is three times the capacity while the platform is down',
+    {
+      depth: 3,
+      demand: 3,
+      slowFactor: 1,
+      injectFault: fleet => fleet.disturbPlatform({ down: true }),
+      clearFault: fleet => fleet.disturbPlatform({ down: false }),
+    },
+  ),
 };
--- a/packages/bench/src/experiments/overload.ts
+++ b/packages/bench/src/experiments/overload.ts
@@ -1,4 +1,4 @@
-/** Experiments of overload: normal load, a trigger, and the time after it, on a chain of services. */
+/** Overload experiments on a chain of services: normal load, a trigger such as a surge, and recovery. */
 import { SystemClock, seededRandom } from '@cleatquay/clock';
 import { cpus } from 'node:os';
 import { chainCapacity, chainFile, chainNodes, serviceAt } from '../chain.js';
@@ -22,22 +22,22 @@
 const RAMP_MS = 2000;
 const NORMAL_DEMAND_RATIO = 0.7;
 
-/** The trigger of an experiment. */
+/** The chain of an experiment, its load, and its trigger. */
 export interface OverloadScenario {
   readonly depth: number;
-  /** Demand during the trigger, as a share of the bottleneck's normal capacity. */
+  /** Demand during the trigger, as a multiple of the bottleneck's normal capacity. */
   readonly demand: number;
-  /** Slow-down of the bottleneck during the trigger. */
+  /** Factor by which service times of the bottleneck grow during the trigger. */
   readonly slowFactor: number;
-  /** Demand before and after; 0.7 unless given. */
+  /** Demand before and after the trigger, as a multiple of the normal capacity; default: 0.7. */
   readonly normalDemand?: number;
-  /** What else goes wrong while the trigger lasts. */
+  /** Injects a further fault when the trigger starts. */
   readonly injectFault?: (fleet: Fleet, bottleneck: FleetNode[]) => Promise<void>;
-  /** Ends the disturbance. */
+  /** Clears the fault when the trigger ends. */
   readonly clearFault?: (fleet: Fleet, bottleneck: FleetNode[]) => Promise<void>;
 }
 
-/** Flags of the daemons by variant. */
+/** Daemon flags by variant. */
 export const VARIANTS: Readonly<Record<string, readonly string[]>> = {
   unprotected: ['--protection=false'],
   full: [],
@@ -80,15 +80,15 @@
   await setSlowFactor(fleet, bottleneck, 1);
   await scenario.clearFault?.(fleet, bottleneck);
   const trigger: Trigger = { from, to: clock.now() };
-  const used = readProcessorUse();
+  const processorUse = readProcessorUse();
   await clock.sleep(AFTER_MS);
   const end = clock.now();
   await load.stop();
   const capacity = fullCapacity / scenario.slowFactor;
-  return { ...(await collectFigures(fleet, load, trigger, end, capacity)), processorUse: used };
+  return { ...(await collectFigures(fleet, load, trigger, end, capacity)), processorUse };
 }
 
-/** Upstreams that were killed meanwhile are passed over. */
+/** Ignores upstreams that were killed in the meantime. */
 async function setSlowFactor(fleet: Fleet, nodes: readonly FleetNode[], slowFactor: number): Promise<void> {
   await Promise.all(nodes.map(node => fleet.behave(node, { slowFactor }).catch(() => undefined)));
 }
@@ -131,7 +131,7 @@
   };
 }
 
-/** Starts to measure; call the result for the mean share of processors in use since. */
+/** Starts a measurement; the returned function gives the mean processor utilisation since then. */
 function startProcessorMeter(): () => number {
   const total = () =>
     cpus().reduce(
--- a/packages/bench/src/experiments/truth.ts
+++ b/packages/bench/src/experiments/truth.ts
@@ -1,4 +1,4 @@
-/** What callers are told, under random faults, compared with what the upstreams did. */
+/** Compares the outcomes that callers see under random faults with the ledgers of the upstreams. */
 import { SystemClock, seededRandom } from '@cleatquay/clock';
 import { deployments, fileOf } from '../deployments.js';
 import { FaultInjector } from '../faultPlan.js';
@@ -9,11 +9,11 @@
 const RATE_PER_SECOND = 80;
 const MEAN_FAULT_INTERVAL_MS = 1000;
 const SETTLE_MS = 3000;
-/** How every upstream of these runs behaves. */
+/** Simulated behaviour of every upstream. */
 export const UPSTREAM_BEHAVIOUR = { slots: 40, serviceMs: 25 };
 const SERVICES = ['receiving', 'history', 'alarms'];
 
-/** Runs the fleet for `seconds`, with faults or without. */
+/** Runs the experiment for `seconds`, with faults or without. */
 export async function runTruth(withFaults: boolean, seed: string, seconds: number): Promise<VariantResult> {
   await using fleet = await startThreeDomains(seed);
   const clock = new SystemClock();
@@ -23,7 +23,7 @@
     clock,
     seededRandom(`${seed}-faults`),
     UPSTREAM_BEHAVIOUR,
-    (_old, fresh) => everyNode.push(fresh),
+    (_old, replacement) => everyNode.push(replacement),
   );
   const faults = withFaults ? injector.run(seconds * 1000, MEAN_FAULT_INTERVAL_MS) : undefined;
   const end = clock.now() + seconds * 1000;
@@ -44,10 +44,10 @@
   };
 }
 
-/** Three services with an upstream each in three failure domains. */
+/** Starts a fleet of three services, each with one upstream in each of three failure domains. */
 export async function startThreeDomains(seed: string): Promise<Fleet> {
   const deployment = deployments.frostline;
-  if (!deployment) throw new Error('The deployment is missing.');
+  if (!deployment) throw new Error('The deployment frostline is missing.');
   const file = fileOf(deployment);
   const nodes = SERVICES.flatMap(service =>
     deployment.failureDomains.map(failureDomain => ({
--- a/packages/bench/src/faultPlan.ts
+++ b/packages/bench/src/faultPlan.ts
@@ -1,4 +1,4 @@
-/** Random faults on a fleet, one after the other or at once, from a seed. */
+/** Injects random faults into a fleet, one at a time or several at once, reproducibly from a seed. */
 import { type Clock, type Random } from '@cleatquay/clock';
 import { type UpstreamBehaviour } from '@cleatquay/standins';
 import { type Fleet, type FleetNode } from './fleet.js';
@@ -6,7 +6,6 @@
 const MAX_FREEZE_MS = 4000;
 const MAX_FAULT_MS = 4000;
 
-/** What can go wrong. */
 export type FaultName =
   | 'freeze-daemon'
   | 'freeze-upstream'
@@ -17,6 +16,7 @@
   | 'platform-loses-answers'
   | 'drain-and-back';
 
+/** A fault that is listed twice is twice as likely. */
 const FAULTS: readonly FaultName[] = [
   'freeze-daemon',
   'freeze-daemon',
@@ -29,7 +29,7 @@
   'drain-and-back',
 ];
 
-/** Causes faults until told to stop, and puts everything right again. */
+/** Injects faults for a given time, and ends each of them. */
 export class FaultInjector {
   readonly counts: Record<string, number> = {};
   private readonly faultyNodes = new Set<FleetNode>();
@@ -40,11 +40,11 @@
     private readonly clock: Clock,
     private readonly random: Random,
     private readonly behaviour: Partial<UpstreamBehaviour>,
-    /** Told of a VM that is about to be killed. */
-    private readonly onReplaced: (old: FleetNode, fresh: FleetNode) => void,
+    /** Called after a VM was killed and replaced. */
+    private readonly onReplaced: (old: FleetNode, replacement: FleetNode) => void,
   ) {}
 
-  /** One fault every `everyMs` on average, for `ms`. */
+  /** Injects a fault every `meanIntervalMs` on average for `ms`, then waits until all of them have ended. */
   async run(ms: number, meanIntervalMs: number): Promise<void> {
     const end = this.clock.now() + ms;
     while (this.clock.now() < end) {
@@ -88,8 +88,8 @@
   }
 
   private async replace(node: FleetNode): Promise<void> {
-    const fresh = await this.fleet.replace(node, this.behaviour);
-    this.onReplaced(node, fresh);
+    const replacement = await this.fleet.replace(node, this.behaviour);
+    this.onReplaced(node, replacement);
   }
 
   private async disturbPlatform(faults: object, recovery: object): Promise<void> {
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet as real processes on loopback: the platform's stand-in, daemons, and upstreams beside them. */
+/** A whole fleet as real processes on loopback: the stand-in of the platform, daemons, and an upstream for each daemon. */
 import { SystemClock } from '@cleatquay/clock';
 import { ConfigurationStore } from '@cleatquay/configuration';
 import { HttpStore } from '@cleatquay/store';
@@ -19,7 +19,7 @@
 const READY_POLL_MS = 50;
 const READY_TIMEOUT_MS = 30_000;
 
-/** Where a daemon is reached. */
+/** Addresses of a daemon, each as `ip:port`. */
 export interface DaemonAddresses {
   readonly caller: string;
   readonly inner: string;
@@ -27,16 +27,16 @@
   readonly operator: string;
 }
 
-/** One VM: a daemon, and the upstream beside it. */
+/** One VM: a daemon and its local upstream. */
 export interface FleetNode {
   readonly service: string;
   readonly failureDomain: string;
   readonly daemon: ManagedProcess;
   readonly addresses: DaemonAddresses;
   readonly upstream: ManagedProcess;
-  /** ip:port of the upstream. */
+  /** As `ip:port`. */
   readonly upstreamAddress: string;
-  /** Where the upstream notes what it ran. */
+  /** File in which the upstream records each execution. */
   readonly ledgerPath: string;
 }
 
@@ -47,9 +47,8 @@
   readonly behaviour: Partial<UpstreamBehaviour>;
 }
 
-/** What to start. */
 export interface FleetOptions {
-  /** Path of the operators' file. */
+  /** Path of the operator file. */
   readonly path: string;
   readonly file: OperatorFile;
   /** One entry for each VM. */
@@ -63,7 +62,7 @@
   readonly seed: string;
 }
 
-/** Owns all processes of a fleet. */
+/** Starts and owns all processes of a fleet; disposing kills them. */
 export class Fleet implements AsyncDisposable {
   readonly nodes: FleetNode[] = [];
   private startedCount = 0;
@@ -74,7 +73,7 @@
     private readonly platform: ManagedProcess,
   ) {}
 
-  /** Starts everything, applies the operators' file, and waits until all daemons see each other. */
+  /** Starts all processes, applies the operator file, and waits until the fleet has converged. */
   static async start(options: FleetOptions): Promise<Fleet> {
     const fleet = new Fleet(options, await ManagedProcess.start(PLATFORM, [], 'url'));
     try {
@@ -101,7 +100,7 @@
     return String(this.platform.ready.url);
   }
 
-  /** Starts one more VM. */
+  /** Starts the processes of one VM, without adding it to `nodes`. */
   async startNode(node: VmSpecification): Promise<FleetNode> {
     const { service, failureDomain, behaviour } = node;
     const name = `${this.options.seed}-${String(this.startedCount++)}`;
@@ -122,7 +121,7 @@
     return { service, failureDomain, daemon, addresses, upstream, upstreamAddress, ledgerPath };
   }
 
-  /** Starts a daemon that joins by a few of those that are there. */
+  /** Starts a daemon that joins the fleet through a few running daemons. */
   private async startDaemon(failureDomain: string): Promise<ManagedProcess> {
     const seeds = this.nodes.slice(0, MAX_SEEDS).flatMap(({ addresses }) => ['--seeds', addresses.gossip]);
     const flags = [`--platform=${this.platformUrl}`, ...seeds, ...(this.options.daemonFlags ?? [])];
@@ -133,43 +132,43 @@
     );
   }
 
-  /** Waits until every daemon has a configuration and knows every upstream. */
+  /** Waits until every daemon has a configuration and sees every upstream. */
   async settled(): Promise<void> {
-    const end = performance.now() + READY_TIMEOUT_MS;
+    const deadline = performance.now() + READY_TIMEOUT_MS;
     for (const node of this.nodes) {
       while (!(await this.hasConverged(node))) {
-        if (performance.now() > end)
-          throw new Error(`${node.addresses.operator} does not see the whole fleet.`);
+        if (performance.now() > deadline)
+          throw new Error(`${node.addresses.operator} does not see all upstreams of the fleet.`);
         await new Promise(resolve => setTimeout(resolve, READY_POLL_MS));
       }
     }
   }
 
-  /** Caller URLs of all daemons. */
+  /** URLs of the caller API of all daemons. */
   get callerUrls(): string[] {
     return this.nodes.map(node => `http://${node.addresses.caller}`);
   }
 
-  /** What an upstream did, as it says itself. */
+  /** Executions that an upstream recorded. */
   ledger({ ledgerPath }: FleetNode): Effect[] {
     return readLedger(ledgerPath);
   }
 
-  /** Starts a VM in the place of another: the old one's processes are killed, its ledger stays readable. */
+  /** Kills the processes of a VM and starts a replacement. The ledger of the old VM stays readable. */
   async replace(node: FleetNode, behaviour: Partial<UpstreamBehaviour>): Promise<FleetNode> {
     await Promise.all([node.daemon[Symbol.asyncDispose](), node.upstream[Symbol.asyncDispose]()]);
     const { service, failureDomain } = node;
-    const fresh = await this.startNode({ service, failureDomain, behaviour });
-    this.nodes.splice(this.nodes.indexOf(node), 1, fresh);
-    return fresh;
+    const replacement = await this.startNode({ service, failureDomain, behaviour });
+    this.nodes.splice(this.nodes.indexOf(node), 1, replacement);
+    return replacement;
   }
 
-  /** Milliseconds of useful and of wasted work of an upstream since its last reset. */
+  /** Useful and wasted work of an upstream since its last reset, ms. */
   async work(node: FleetNode): Promise<{ useful: number; wasted: number }> {
     return getJson(`http://${node.upstreamAddress}/_work`);
   }
 
-  /** Invariants that the daemons that are up found broken, all together. */
+  /** Total number of invariant violations that the running daemons have detected. */
   async invariantViolations(): Promise<number> {
     const counts = this.nodes.map(async ({ addresses }) => {
       const text = await getText(`http://${addresses.operator}/metrics`);
@@ -178,22 +177,25 @@
     return (await Promise.all(counts)).reduce((sum, count) => sum + count, 0);
   }
 
-  /** Changes how an upstream behaves. */
+  /** Changes the simulated behaviour of an upstream. */
   async behave(node: FleetNode, behaviour: Partial<UpstreamBehaviour>): Promise<void> {
     await post(`http://${node.upstreamAddress}/_behaviour`, behaviour);
   }
 
-  /** Starts the upstreams' counts of work anew. */
+  /** Resets the work counters of all upstreams. */
   async resetWork(): Promise<void> {
     for (const node of this.nodes) await post(`http://${node.upstreamAddress}/_reset`, {});
   }
 
-  /** Makes the platform misbehave. */
+  /** Injects faults into the stand-in of the platform, or clears them. */
   async disturbPlatform(faults: Partial<StoreFaults>): Promise<void> {
     await post(`${this.platformUrl}/_faults`, faults);
   }
 
-  /** Cuts a daemon off from others; needs the faultHooks flag. */
+  /**
+   * Makes a daemon drop its traffic with the given daemons and with no others; an empty list ends the partition. Needs the
+   * flag `--faultHooks`.
+   */
   async cut(node: FleetNode, from: readonly FleetNode[]): Promise<void> {
     const addresses = from.flatMap(({ addresses: { inner, gossip } }) => [inner, gossip]);
     await post(`http://${node.addresses.operator}/faults`, { cut: addresses });
--- a/packages/bench/src/load.ts
+++ b/packages/bench/src/load.ts
@@ -1,4 +1,4 @@
-/** Open-loop load: arrivals that don't wait for answers, and clients that time out and retry hard. */
+/** Open-loop load: arrivals don't wait for responses, and clients time out and retry aggressively. */
 import { type Clock, type Random } from '@cleatquay/clock';
 import { type Dispatcher, Pool } from 'undici';
 import { CLASSES, type ChainClass, serviceAt } from './chain.js';
@@ -10,28 +10,30 @@
 const TICK_MS = 2;
 const ID_BATCH_SIZE = 20;
 
-/** How one client request went, all its sends together. */
+/** Result of one client request, over all its sends. */
 export interface Sample {
   readonly className: ChainClass;
-  /** When it was due, ms on the load's clock. */
+  /** When the request was due, ms on the clock of the load. */
   readonly at: number;
   readonly ms: number;
   readonly outcome: 'answered' | 'not-run' | 'unknown' | 'failed';
+  /** Whether the response is complete. */
   readonly isComplete: boolean;
+  /** Whether the response belongs to another request. */
   readonly isMismatched: boolean;
   readonly sends: number;
   readonly token: string;
-  /** Ids that were said to have run nowhere. */
+  /** Request ids for which the outcome was `not-run`. */
   readonly notRunIds: string[];
 }
 
-/** Share of each class in the demand. */
+/** Fraction of the demand by class. */
 export const CLASS_SHARES: Readonly<Record<ChainClass, number>> = { critical: 0.2, normal: 0.3, bulk: 0.5 };
 
-/** Sends requests at a rate that can be changed, and keeps a sample of each. */
+/** Sends requests at an adjustable rate, and records a sample of each. */
 export class OpenLoopLoad implements AsyncDisposable {
   readonly samples: Sample[] = [];
-  /** Requests a second. */
+  /** Mean arrival rate, requests a second. */
   rate = 0;
   private readonly pools: Pool[];
   private readonly pending = new Set<Promise<void>>();
@@ -51,12 +53,11 @@
     );
   }
 
-  /** Starts the arrivals. */
   start(): void {
     this.arrivals = this.runArrivals();
   }
 
-  /** Ends the arrivals and waits for what is out. */
+  /** Stops the arrivals and waits for the requests in flight. */
   async stop(): Promise<void> {
     this.stopped = true;
     await this.arrivals;
@@ -69,7 +70,10 @@
     await Promise.all(this.pools.map(pool => pool.destroy()));
   }
 
-  /** A Poisson process; latencies count from when a request was due, not from when it could be sent. */
+  /**
+   * A Poisson process. Latencies count from when a request was due and not from when it was sent, so that delays of the load
+   * generator don't hide latency (coordinated omission).
+   */
   private async runArrivals(): Promise<void> {
     let due = this.clock.now();
     while (!this.stopped) {
@@ -85,8 +89,8 @@
   }
 
   private pickClass(): ChainClass {
-    let left = this.random();
-    return CLASSES.find(name => (left -= CLASS_SHARES[name]) < 0) ?? 'bulk';
+    let remaining = this.random();
+    return CLASSES.find(name => (remaining -= CLASS_SHARES[name]) < 0) ?? 'bulk';
   }
 
   private async send(at: number): Promise<void> {
@@ -96,18 +100,18 @@
     let id: string | undefined;
     let result = NO_RESPONSE;
     let sends = 0;
-    const end = at + CLIENT_TIMEOUT_MS;
-    while (sends <= MAX_RETRIES && this.clock.now() < end && result.outcome !== 'answered') {
+    const deadline = at + CLIENT_TIMEOUT_MS;
+    while (sends <= MAX_RETRIES && this.clock.now() < deadline && result.outcome !== 'answered') {
       if (sends > 0) await this.clock.sleep(MAX_RETRY_DELAY_MS * this.random());
       sends++;
       const pool = this.pools[Math.floor(this.random() * this.pools.length)];
       if (className === 'critical') id ??= await this.obtainId(pool);
-      result = await sendOnce(pool, { className, token, id, timeoutMs: end - this.clock.now() });
+      result = await sendOnce(pool, { className, token, id, timeoutMs: deadline - this.clock.now() });
       if (result.outcome !== 'not-run') continue;
       notRunIds.push(result.requestId);
       id = undefined;
     }
-    const { outcome, isComplete: whole, isMismatched: mismatched } = result;
+    const { outcome, isComplete, isMismatched } = result;
     this.samples.push({
       className,
       at,
@@ -116,18 +120,18 @@
       sends,
       notRunIds,
       outcome,
-      isComplete: whole,
-      isMismatched: mismatched,
+      isComplete,
+      isMismatched,
     });
   }
 
-  /** Ids come in batches, so that a resend can be known for one. */
+  /** An id obtained before the first send lets daemons recognise retries. Ids are fetched in batches. */
   private async obtainId(pool: Pool | undefined): Promise<string | undefined> {
     if (this.ids.length > 0) return this.ids.pop();
-    const answer = await pool
+    const response = await pool
       ?.request({ method: 'POST', path: `/cleatquay/ids?count=${String(ID_BATCH_SIZE)}` })
       .catch(() => undefined);
-    const body = (await answer?.body.json().catch(() => undefined)) as { ids?: string[] } | undefined;
+    const body = (await response?.body.json().catch(() => undefined)) as { ids?: string[] } | undefined;
     this.ids.push(...(body?.ids ?? []));
     return this.ids.pop();
   }
@@ -156,7 +160,7 @@
   if (!pool || timeoutMs <= 0) return NO_RESPONSE;
   const isCritical = className === 'critical';
   try {
-    const answer = await pool.request({
+    const response = await pool.request({
       method: isCritical ? 'POST' : 'GET',
       path: `/${serviceAt(1)}/${className}`,
       headers: {
@@ -167,20 +171,20 @@
       body: isCritical ? '{}' : null,
       signal: AbortSignal.timeout(Math.ceil(timeoutMs)),
     });
-    return toSendResult(answer, token, await answer.body.text());
+    return toSendResult(response, token, await response.body.text());
   } catch {
     return NO_RESPONSE;
   }
 }
 
-function toSendResult(answer: Dispatcher.ResponseData, token: string, text: string): SendResult {
-  const outcome = (answer.headers['cleatquay-outcome'] ?? 'unknown') as Sample['outcome'];
-  const requestId = String(answer.headers['cleatquay-request-id'] ?? '');
-  if (answer.statusCode !== 200)
+function toSendResult(response: Dispatcher.ResponseData, token: string, text: string): SendResult {
+  const outcome = (response.headers['cleatquay-outcome'] ?? 'unknown') as Sample['outcome'];
+  const requestId = String(response.headers['cleatquay-request-id'] ?? '');
+  if (response.statusCode !== 200)
     return { ...NO_RESPONSE, outcome: outcome === 'answered' ? 'failed' : outcome, requestId };
   const body = parseBody(text);
-  const whole = body !== undefined;
-  return { outcome: 'answered', isComplete: whole, isMismatched: whole && body.token !== token, requestId };
+  const isComplete = body !== undefined;
+  return { outcome: 'answered', isComplete, isMismatched: isComplete && body.token !== token, requestId };
 }
 
 function parseBody(text: string): { token?: string } | undefined {
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- list | run <experiment>` */
+/** Command line of the bench: `npm run bench -- list | run <experiment> | capacity`. */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 import { measureCapacity } from './experiments/capacity.js';
@@ -12,21 +12,21 @@
   .scriptName('bench')
   .command(
     'list',
-    'the experiments',
+    'list the experiments',
     y => y,
     () => {
       const rows = Object.entries(experiments).map(([name, { summary }]) => [name, summary]);
-      process.stdout.write(`${table(['experiment', 'what happens'], rows)}\n`);
+      process.stdout.write(`${table(['experiment', 'description'], rows)}\n`);
     },
   )
   .command(
     'run <experiment>',
-    'run an experiment on real daemons',
+    'run an experiment against real daemon processes',
     y =>
       y.positional('experiment', { choices: Object.keys(experiments), demandOption: true }).options({
         seed: { type: 'string', default: '1' },
-        variants: { type: 'string', default: '', describe: 'comma-separated; all unless given' },
-        seconds: { type: 'number', default: 30, describe: 'length of truth' },
+        variants: { type: 'string', default: '', describe: 'comma-separated; default: all' },
+        seconds: { type: 'number', default: 30, describe: 'duration of truth and partition' },
         json: { type: 'boolean', default: false, describe: 'one JSON object on stdout and nothing else' },
       }),
     async argv => {
@@ -47,8 +47,11 @@
   )
   .command(
     'capacity',
-    'measure the slopes of docs/CAPACITY.md',
-    y => y.options({ sizes: { type: 'string', default: '15,30,60,120', describe: 'numbers of daemons' } }),
+    'measure the cost figures of docs/CAPACITY.md',
+    y =>
+      y.options({
+        sizes: { type: 'string', default: '15,30,60,120', describe: 'fleet sizes, comma-separated' },
+      }),
     argv =>
       measureCapacity(argv.sizes.split(',').map(Number), line => void process.stdout.write(`${line}\n`)),
   )
@@ -67,7 +70,7 @@
   return `${table([`seed ${seed}`, ...names], rows)}\n${violationText}`;
 }
 
-/** Nested figures as `goodput.total`, rounded. */
+/** Flattens nested figures to keys such as `goodput.total`, with numbers rounded to three decimals. */
 function flatten(value: object, prefix = ''): Record<string, string> {
   return Object.fromEntries(
     Object.entries(value).flatMap(([key, inner]: [string, unknown]): [string, string][] => {
--- a/packages/bench/src/mixedLoad.ts
+++ b/packages/bench/src/mixedLoad.ts
@@ -1,4 +1,4 @@
-/** A mix of confirmations and reads by the caller library, and what became of them. */
+/** Sends a mix of confirmations and reads with the caller library, and compares their outcomes with the ledgers. */
 import { Caller, type CallerResult } from '@cleatquay/caller';
 import { type Clock, type Random } from '@cleatquay/clock';
 import { type Effect } from '@cleatquay/standins';
@@ -8,7 +8,7 @@
 const TIMEOUT_MS = 5000;
 const DAEMONS_PER_CALLER = 4;
 
-/** One request, and what its caller was told. */
+/** One request, and the result that its caller got. */
 export interface SentRequest {
   readonly token: string;
   readonly isConfirmation: boolean;
@@ -16,18 +16,17 @@
   readonly body: { token?: string; children?: unknown[] } | undefined;
 }
 
-/** What a mix is sent with. */
 export interface MixOptions {
   readonly clock: Clock;
   readonly random: Random;
-  /** Daemons that may be asked just now. */
+  /** URLs of the daemons that currently accept requests. */
   readonly urls: () => string[];
   readonly ratePerSecond: number;
-  /** Makes tokens of several mixes differ. */
+  /** Prefix of the tokens, which keeps those of several mixes distinct. */
   readonly name: string;
 }
 
-/** Sends a mix until `isOver`, and waits for all answers. */
+/** Sends requests until `isOver` returns true, then waits for all results. */
 export async function sendMix(options: MixOptions, isOver: () => boolean): Promise<SentRequest[]> {
   const pending: Promise<SentRequest>[] = [];
   for (let i = 0; !isOver(); i++) {
@@ -37,7 +36,7 @@
   return Promise.all(pending);
 }
 
-/** One client with a few daemons of its own choice, as they are there just now. */
+/** Sends one request by a new client, which knows a few random daemons of the current ones. */
 async function sendOne({ clock, random, urls }: MixOptions, token: string): Promise<SentRequest> {
   const daemons = urls()
     .sort(() => random() - 0.5)
@@ -59,9 +58,9 @@
   }
 }
 
-/** Compares what callers were told with what the upstreams did. */
+/** Compares the outcomes that callers saw with the ledgers of the upstreams. */
 export function toVariantResult(
-  asked: readonly SentRequest[],
+  requests: readonly SentRequest[],
   ledger: readonly Effect[],
   seconds: number,
 ): VariantResult {
@@ -70,41 +69,41 @@
   for (const { token, route, done, requestId } of ledger) {
     attemptsById.set(requestId, (attemptsById.get(requestId) ?? 0) + 1);
     if (route !== 'receiving.confirm' && route !== 'history.read') continue;
-    const known = executions.get(token) ?? { started: 0, done: 0 };
-    executions.set(token, { started: known.started + 1, done: known.done + (done ? 1 : 0) });
+    const previous = executions.get(token) ?? { started: 0, done: 0 };
+    executions.set(token, { started: previous.started + 1, done: previous.done + (done ? 1 : 0) });
   }
-  const confirmations = asked.filter(a => a.isConfirmation);
-  const answered = asked.filter(a => a.result.outcome === 'answered');
-  const whole = answered.filter(a => a.body?.token === a.token);
+  const confirmations = requests.filter(a => a.isConfirmation);
+  const answered = requests.filter(a => a.result.outcome === 'answered');
+  const matching = answered.filter(a => a.body?.token === a.token);
   const executionsOf = (a: SentRequest) => executions.get(a.token) ?? { started: 0, done: 0 };
   const confirmed = confirmations.filter(a => a.result.outcome === 'answered');
   return {
-    goodput: ratesByClass(whole, seconds),
-    offered: ratesByClass(asked, seconds),
+    goodput: ratesByClass(matching, seconds),
+    offered: ratesByClass(requests, seconds),
     answeredShare: {
       confirmation: confirmed.length / confirmations.length,
-      interactive: (answered.length - confirmed.length) / (asked.length - confirmations.length),
+      interactive: (answered.length - confirmed.length) / (requests.length - confirmations.length),
     },
-    outcomes: countOutcomes(asked),
+    outcomes: countOutcomes(requests),
     triesPerRequestMax: Math.max(0, ...attemptsById.values()),
-    notRunButRan: asked.filter(a => a.result.outcome === 'not-run' && executionsOf(a).started > 0).length,
+    notRunButRan: requests.filter(a => a.result.outcome === 'not-run' && executionsOf(a).started > 0).length,
     doubleEffects: confirmations.filter(a => executionsOf(a).done > 1).length,
     answeredWithoutEffect: confirmed.filter(a => executionsOf(a).done === 0).length,
     incompleteAnswers: answered.filter(a => a.body?.children?.length !== 1).length,
     mismatchedAnswers: answered.filter(a => a.body !== undefined && a.body.token !== a.token).length,
-    unknownShare: asked.filter(a => a.result.outcome === 'unknown').length / asked.length,
+    unknownShare: requests.filter(a => a.result.outcome === 'unknown').length / requests.length,
   };
 }
 
-function ratesByClass(asked: readonly SentRequest[], seconds: number): VariantResult['goodput'] {
-  const confirmations = asked.filter(a => a.isConfirmation).length / seconds;
-  const total = asked.length / seconds;
+function ratesByClass(requests: readonly SentRequest[], seconds: number): VariantResult['goodput'] {
+  const confirmations = requests.filter(a => a.isConfirmation).length / seconds;
+  const total = requests.length / seconds;
   return { total, byClass: { confirmation: confirmations, interactive: total - confirmations } };
 }
 
-function countOutcomes(asked: readonly SentRequest[]): VariantResult['outcomes'] {
+function countOutcomes(requests: readonly SentRequest[]): VariantResult['outcomes'] {
   const counted: VariantResult['outcomes'] = {};
-  for (const { isConfirmation, result } of asked) {
+  for (const { isConfirmation, result } of requests) {
     const row = (counted[isConfirmation ? 'confirmation' : 'interactive'] ??= {});
     row[result.outcome] = (row[result.outcome] ?? 0) + 1;
   }
--- a/packages/bench/src/output.ts
+++ b/packages/bench/src/output.ts
@@ -1,7 +1,6 @@
-/** Tables for people, without colours. */
+/** Plain-text tables for the terminal, without colours. */
 import Table from 'cli-table3';
 
-/** Rows under a head. */
 export function table(head: string[], rows: (string | number)[][]): string {
   const printed = new Table({ head, style: { head: [], border: [], compact: true } });
   printed.push(...rows);
--- a/packages/bench/src/results.ts
+++ b/packages/bench/src/results.ts
@@ -1,42 +1,46 @@
-/** What an experiment gives: figures for each variant, and violated invariants. */
+/** Results of an experiment: figures for each variant, and violated invariants. */
 import { type Effect } from '@cleatquay/standins';
 import { CLASSES, type ChainClass } from './chain.js';
 import { type Sample } from './load.js';
 
-/** Figures of one variant; what an experiment doesn't measure is absent. Rates are in requests a second. */
+/** Figures of one variant; those that an experiment doesn't measure are absent. Rates are in requests a second. */
 export interface VariantResult {
   goodput: { total: number; byClass: Record<string, number> };
   offered: { total: number; byClass: Record<string, number> };
-  /** Share of each class that was answered whole, over the trigger. */
+  /** Ratio of requests with a complete response to all requests, by class, during the trigger. */
   answeredShare: Record<string, number>;
   capacity?: number;
   goodputOverCapacity?: number;
-  /** From the end of the trigger until goodput is normal for good; -1 when it never was. */
+  /** Seconds from the end of the trigger until goodput is normal and stays so; -1 if it never was. */
   recoverySeconds?: number;
-  /** Most runs of one client send at the first service, by its own ledger. */
+  /** Highest number of executions under one request id, from the ledgers of the upstreams. */
   triesPerRequestMax: number;
-  /** Share of the upstreams' work that went into requests that failed. */
+  /** Ratio of the upstreams' work that was spent on requests that failed. */
   wastedWorkFraction?: number;
+  /** Requests whose outcome was `not-run` although a ledger shows an execution. */
   notRunButRan: number;
+  /** Requests that may run only once and took effect more than once. */
   doubleEffects: number;
   incompleteAnswers: number;
+  /** Responses that belong to another request. */
   mismatchedAnswers: number;
+  /** Ratio of requests with the outcome `unknown`. */
   unknownShare: number;
-  /** How requests that were due during the trigger ended, by class. */
+  /** Outcomes of the requests that were due during the trigger, by class. */
   outcomes: Record<string, Record<string, number>>;
-  /** Mean share of the machine's processors in use; above 0.85 the figures say little. */
+  /** Mean utilisation of the machine's processors; above 0.85 the machine, not the upstreams, limits the figures. */
   processorUse?: number;
-  /** Seconds in which a class was refused while a less important one was answered at a higher share. */
+  /** One-second intervals in which a class had a success ratio more than 0.1 below that of the next lower class. */
   inversions?: number;
-  /** Found by the daemons themselves. */
+  /** Reported by the daemons in their metrics. */
   invariantViolations?: number;
-  /** Answers for which the ledgers show no effect. */
+  /** Responses to requests for which no ledger shows an effect. */
   answeredWithoutEffect?: number;
-  /** How often each fault was caused. */
+  /** Number of injections, by fault. */
   faults?: Record<string, number>;
 }
 
-/** What `bench run --json` prints. */
+/** Printed by `bench run --json`. */
 export interface ExperimentResult {
   experiment: string;
   seed: string;
@@ -44,7 +48,7 @@
   violations: string[];
 }
 
-/** When the trigger began and ended, ms on the load's clock. */
+/** Start and end of the trigger, ms on the clock of the load. */
 export interface Trigger {
   readonly from: number;
   readonly to: number;
@@ -63,17 +67,21 @@
 const RECOVERY_WINDOW_MS = 1000;
 const INVERSION_MARGIN = 0.1;
 
-/** Rate of whole answers by class between two times. */
-export function requestRates(samples: readonly Sample[], from: number, to: number, whole: boolean) {
+/** Rate of requests that were due between two times, by class; optionally only those with a complete response. */
+export function requestRates(samples: readonly Sample[], from: number, to: number, completeOnly: boolean) {
   const seconds = (to - from) / 1000;
-  const counted = samples.filter(s => s.at >= from && s.at < to && (!whole || s.isComplete));
+  const counted = samples.filter(s => s.at >= from && s.at < to && (!completeOnly || s.isComplete));
   const of = (name: ChainClass) => counted.filter(s => s.className === name).length / seconds;
   const byClass = Object.fromEntries(CLASSES.map(name => [name, of(name)]));
   return { total: counted.length / seconds, byClass };
 }
 
-/** How requests that were due between two times ended, by class. */
-export function countOutcomes(samples: readonly Sample[], from: number, to: number): VariantResult['outcomes'] {
+/** Counts the outcomes of requests that were due between two times, by class. */
+export function countOutcomes(
+  samples: readonly Sample[],
+  from: number,
+  to: number,
+): VariantResult['outcomes'] {
   const counted: VariantResult['outcomes'] = {};
   for (const { className, outcome, at } of samples) {
     if (at < from || at >= to) continue;
@@ -83,7 +91,10 @@
   return counted;
 }
 
-/** Seconds from the trigger's end until the share of answered requests is normal for a second on end; -1 for never. */
+/**
+ * Seconds from the end of the trigger until the success ratio is normal over one second and over all of the remaining time;
+ * -1 if it never is.
+ */
 export function recoverySeconds(samples: readonly Sample[], trigger: Trigger, end: number): number {
   const share = (from: number, to: number) => {
     const due = samples.filter(s => s.at >= from && s.at < to);
@@ -96,7 +107,7 @@
   return -1;
 }
 
-/** Seconds in which the order of refusal was turned round. */
+/** Counts one-second intervals in which a class had a lower success ratio than the next lower class. */
 export function countInversions(samples: readonly Sample[], trigger: Trigger): number {
   let count = 0;
   for (let at = trigger.from; at < trigger.to; at += 1000) {
@@ -109,7 +120,7 @@
   return count;
 }
 
-/** Compares what callers were told with what the first service did. */
+/** Compares the outcomes that callers saw with the ledgers of the first service. */
 export function compareWithLedger(samples: readonly Sample[], ledger: readonly Effect[]) {
   const ran = new Set(ledger.map(effect => effect.requestId));
   const completedByToken = new Map<string, number>();
@@ -129,7 +140,7 @@
   };
 }
 
-/** Broken promises, as short sentences. */
+/** Violated invariants, as short sentences. */
 export function findViolations(variant: string, result: VariantResult, maxAttempts: number): string[] {
   const found: string[] = [];
   for (const name of MUST_BE_ZERO) {
@@ -137,6 +148,6 @@
     if (count > 0) found.push(`${variant}: ${name} is ${String(count)}.`);
   }
   if (result.triesPerRequestMax > maxAttempts)
-    found.push(`${variant}: ${String(result.triesPerRequestMax)} tries of one request.`);
+    found.push(`${variant}: ${String(result.triesPerRequestMax)} attempts of one request.`);
   return found;
 }
--- a/packages/bench/src/start.ts
+++ b/packages/bench/src/start.ts
@@ -1,4 +1,4 @@
-/** `npm start`: a whole deployment on loopback, a mix of requests through it, and a table of how they went. */
+/** `npm start`: runs a whole deployment on loopback, sends a mix of requests through it and prints a table of the results. */
 import { Caller } from '@cleatquay/caller';
 import { type Random, SystemClock, seededRandom } from '@cleatquay/clock';
 import { CallGraph, type Route } from '@cleatquay/settings';
@@ -16,14 +16,14 @@
 const argv = await yargs(hideBin(process.argv))
   .options({
     deployment: { choices: Object.keys(deployments), default: 'frostline' },
-    once: { type: 'boolean', default: false, describe: 'end after the table' },
+    once: { type: 'boolean', default: false, describe: 'exit after printing the table' },
     seed: { type: 'string', default: '1' },
   })
   .strict()
   .parse();
 
 const deployment = deployments[argv.deployment];
-if (!deployment) throw new Error(`No deployment ${argv.deployment}.`);
+if (!deployment) throw new Error(`No deployment is named ${argv.deployment}.`);
 const clock = new SystemClock();
 const random: Random = seededRandom(argv.seed);
 const file = fileOf(deployment);
@@ -41,10 +41,10 @@
 );
 
 process.stdout.write(
-  `Starting ${deployment.name}: ${String(nodes.length)} upstreams, each with its daemon.\n`,
+  `Starting ${deployment.name}: ${String(nodes.length)} upstreams, each with its own daemon.\n`,
 );
 await using fleet = await Fleet.start({ path: deployment.path, file, nodes, seed: argv.seed });
-process.stdout.write(`Sending ${String(REQUESTS)} requests, ${String(RATE_PER_SECOND)} a second.\n`);
+process.stdout.write(`Sending ${String(REQUESTS)} requests at ${String(RATE_PER_SECOND)} per second.\n`);
 const statistics = new ClassStatistics(file.classes);
 const callers = fleet.callerUrls.map(
   url => new Caller({ daemons: [url, ...fleet.callerUrls], clock, random }),
@@ -85,7 +85,7 @@
   statistics.add(route.class, requestResult);
 }
 
-/** What the daemons added, by pairs of requests in this run: straight to an upstream, then through a daemon. */
+/** Latency added by the daemons, from pairs of requests: one directly to an upstream, then one through a daemon. */
 async function addedLatencyTable(): Promise<string> {
   const leafRoute = routes.find(
     route => route.idempotent && route.calls.length === 0 && route.method === 'GET',
@@ -93,7 +93,7 @@
   if (!leafRoute) return '';
   const { p50, p99 } = await measureAddedLatency(fleet, leafRoute, clock);
   return table(
-    ['added by the daemons', 'p50 ms', 'p99 ms'],
+    ['latency added by the daemons', 'p50 ms', 'p99 ms'],
     [[`one call of ${leafRoute.name}`, p50.toFixed(2), p99.toFixed(2)]],
   );
 }
@@ -101,7 +101,7 @@
 async function waitForInterrupt(): Promise<void> {
   const [first] = fleet.nodes;
   const daemon = first?.addresses.operator ?? '';
-  process.stdout.write(`\nUp until Ctrl-C. Try in another terminal:\n`);
+  process.stdout.write(`\nRunning until Ctrl-C. Try in another terminal:\n`);
   process.stdout.write(`  npx cleatquay status --daemon ${daemon}\n`);
   process.stdout.write(`  npx cleatquay history --platform ${fleet.platformUrl}\n`);
   process.stdout.write(`  npx cleatquay dump ${daemon}\n`);
--- a/packages/bench/src/temporaryFile.ts
+++ b/packages/bench/src/temporaryFile.ts
@@ -1,15 +1,15 @@
-/** Files that last as long as an experiment. */
+/** Files that exist for the duration of an experiment. */
 import { type OperatorFile } from '@cleatquay/settings';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 
-/** A file that disposing removes. */
+/** A file that is removed when this is disposed. */
 export interface TemporaryFile extends Disposable {
   readonly path: string;
 }
 
-/** Writes an operators' file for the processes of an experiment. */
+/** Writes an operator file to a temporary folder for the processes of an experiment. */
 export function writeOperatorFile(file: OperatorFile): TemporaryFile {
   const folder = mkdtempSync(join(tmpdir(), 'cleatquay-'));
   const path = join(folder, 'operators.json');
