--- a/packages/bench/src/experiments/index.ts
+++ b/packages/bench/src/experiments/index.ts
@@ -23,7 +23,7 @@
 /** Above this utilisation the machine, not the upstreams, limits the figures. */
 const MAX_PROCESSOR_USE = 0.85;
 
-function overloadExperiment(summary: string, scenario: OverloadScenario): Experiment {
+function overload(summary: string, scenario: OverloadScenario): Experiment {
   return {
     summary,
     run: async ({ name, seed, variants, log }) => {
@@ -61,7 +61,7 @@
 };
 
 /** A run of a whole fleet, each part of which must answer a minimum ratio of its requests. */
-function fleetExperiment(
+function fleetRun(
   summary: string,
   minAnsweredShare: number,
   run: (seed: string, seconds: number) => Promise<FleetRunResult>,
@@ -85,64 +85,55 @@
 }
 
 export const experiments: Readonly<Record<string, Experiment>> = {
-  steady: overloadExperiment('85% load without faults', {
+  steady: overload('85% load without faults', {
     depth: 3,
     demand: 0.85,
     slowFactor: 1,
     normalDemand: 0.85,
   }),
-  surge: overloadExperiment('demand is three times the capacity', { depth: 3, demand: 3, slowFactor: 1 }),
-  'deep-slowdown': overloadExperiment('the deepest of four services slows down threefold', {
+  surge: overload('demand is three times the capacity', { depth: 3, demand: 3, slowFactor: 1 }),
+  'deep-slowdown': overload('the deepest of four services slows down threefold', {
     depth: 4,
     demand: 0.7,
     slowFactor: 3,
   }),
-  'slowdown-and-surge': overloadExperiment(
-    'the deepest of four services slows down twofold while demand doubles',
-    {
-      depth: 4,
-      demand: 1.5,
-      slowFactor: 2,
-    },
-  ),
-  'slowdown-and-surge-7': overloadExperiment('the same with seven services', {
+  'slowdown-and-surge': overload('the deepest of four services slows down twofold while demand doubles', {
+    depth: 4,
+    demand: 1.5,
+    slowFactor: 2,
+  }),
+  'slowdown-and-surge-7': overload('the same with seven services', {
     depth: 7,
     demand: 1.5,
     slowFactor: 2,
   }),
   truth,
-  partition: fleetExperiment(
+  partition: fleetRun(
     'one of three failure domains is partitioned from the others, and the platform is down',
     0.95,
     runPartition,
   ),
-  'rolling-replace': fleetExperiment('all VMs are replaced one by one under load', 1, runRollingReplace),
-  'upstream-kill': overloadExperiment('one of three upstreams of the deepest service is killed', {
+  'rolling-replace': fleetRun('all VMs are replaced one by one under load', 1, runRollingReplace),
+  'upstream-kill': overload('one of three upstreams of the deepest service is killed', {
     depth: 3,
     demand: 0.7,
     slowFactor: 1,
     injectFault: async (_fleet, [first]) => Promise.resolve(first?.upstream.signal('SIGKILL')),
   }),
-  'gray-upstream': overloadExperiment(
-    'one of three upstreams of the deepest service responds ten times slower',
-    {
-      depth: 3,
-      demand: 0.5,
-      slowFactor: 1,
-      normalDemand: 0.5,
-      injectFault: async (fleet, [first]) => {
-        if (first) await fleet.behave(first, { slowFactor: 10 });
-      },
-    },
-  ),
-  'platform-outage-under-surge': overloadExperiment(
-    'demand is three times the capacity while the platform is down',
-    {
-      depth: 3,
-      demand: 3,
-      slowFactor: 1,
-      injectFault: fleet => fleet.disturbPlatform({ down: true }),
-      clearFault: fleet => fleet.disturbPlatform({ down: false }),
+  'gray-upstream': overload('one of three upstreams of the deepest service responds ten times slower', {
+    depth: 3,
+    demand: 0.5,
+    slowFactor: 1,
+    normalDemand: 0.5,
+    injectFault: async (fleet, [first]) => {
+      if (first) await fleet.behave(first, { slowFactor: 10 });
     },
-  ),
+  }),
+  'platform-outage-under-surge': overload('demand is three times the capacity while the platform is down', {
+    depth: 3,
+    demand: 3,
+    slowFactor: 1,
+    injectFault: fleet => fleet.disturbPlatform({ down: true }),
+    clearFault: fleet => fleet.disturbPlatform({ down: false }),
+  }),
 };
--- a/utils/bundle.mjs
+++ b/utils/bundle.mjs
@@ -1,6 +1,6 @@
 /**
- * Builds the daemon for the users' platform under target/: one file, which starts faster than a thousand, and the code
- * that V8 compiles for it.
+ * Builds the daemon for the users' platform under target/: a single-file bundle, which starts faster than a thousand modules, and
+ * a V8 code cache for it.
  */
 import { build } from 'esbuild';
 import { spawnSync } from 'node:child_process';
@@ -8,15 +8,16 @@
 import { resolve } from 'node:path';
 import { DeferredModules } from './deferredModules.mjs';
 
-/** Libraries that moleculer loads only for transports and formats that this project doesn't use. */
+/** Optional dependencies of moleculer, for transports and formats that this project doesn't use. */
 const UNUSED = ['avsc', 'thrift', 'kafka-node'];
 
 /**
- * What the daemon's libraries load and the daemon never or seldom uses. A daemon that has loaded its bundle holds 21.3 MB of its
- * own in place of 36.8, of which plain node takes 6.3 (Private_Dirty after a collection, one machine).
+ * Modules that the daemon's libraries load at startup and that the daemon uses rarely or never. Deferring them reduces the
+ * private memory of a daemon that has loaded its bundle from 36.8 to 21.3 MB, of which Node.js itself takes 6.3 (Private_Dirty
+ * after a garbage collection, one machine).
  */
 const deferred = new DeferredModules({
-  parts: [
+  internalModules: [
     './transporters',
     './cachers',
     './serializers',
@@ -49,15 +50,15 @@
   secondBundle: './deferred.cjs',
 });
 
-/** Takes the few parts of undici that the daemon uses: its index loads fetch, web sockets and mocks, too. */
-const leanUndici = {
-  name: 'lean-undici',
+/** Bundles only the parts of undici that the daemon uses; its index also loads fetch, WebSocket and mocks. */
+const minimalUndici = {
+  name: 'minimal-undici',
   setup({ onResolve, onLoad }) {
     onResolve({ filter: /^undici$/ }, ({ importer }) =>
-      importer.endsWith('.ts') ? { path: 'undici', namespace: 'lean-undici' } : undefined,
+      importer.endsWith('.ts') ? { path: 'undici', namespace: 'minimal-undici' } : undefined,
     );
-    onLoad({ filter: /./, namespace: 'lean-undici' }, () => ({
-      // As its index does, which gives every dispatcher its calls.
+    onLoad({ filter: /./, namespace: 'minimal-undici' }, () => ({
+      // Adds the API methods to every dispatcher, as the index of undici does.
       contents: `Object.assign(require('undici/lib/dispatcher/dispatcher').prototype, require('undici/lib/api'));
       module.exports = {
         Pool: require('undici/lib/dispatcher/pool'),
@@ -69,9 +70,9 @@
   },
 };
 
-/** Takes the project's own packages from their sources, so that nothing is written outside target/. */
-const ownPackages = {
-  name: 'own-packages',
+/** Resolves the packages of this workspace to their sources, so that the build writes nothing outside target/. */
+const workspacePackages = {
+  name: 'workspace-packages',
   setup({ onResolve }) {
     onResolve({ filter: /^@cleatquay\// }, ({ path }) => ({
       path: resolve('packages', path.slice('@cleatquay/'.length), 'src/index.ts'),
@@ -94,7 +95,7 @@
 await build({
   ...common,
   entryPoints: ['platform/src/main.ts'],
-  plugins: [deferred.plugin, leanUndici, ownPackages],
+  plugins: [deferred.plugin, minimalUndici, workspacePackages],
   outfile: 'target/daemon.cjs',
 });
 await build({
@@ -105,14 +106,14 @@
 await build({
   ...common,
   entryPoints: ['packages/standins/src/index.ts'],
-  plugins: [ownPackages],
+  plugins: [workspacePackages],
   outfile: 'target/standins.cjs',
 });
 copyFileSync('utils/launcher.cjs', 'target/cleatquay.cjs');
 
-/** V8 takes compiled code only under the flags that it was compiled with. */
+/** V8 rejects a code cache that was created under other flags, so use those with which the daemon is run. */
 const [, flags = ''] = /run = "node (.*?) target\//.exec(readFileSync('deploy/system.toml', 'utf8')) ?? [];
 const { status } = spawnSync(process.execPath, [...flags.split(' '), 'utils/writeCodeCache.cjs'], {
   stdio: 'inherit',
 });
-if (status !== 0) throw new Error('The compiled code could not be kept.');
+if (status !== 0) throw new Error('The V8 code cache could not be written.');
--- a/utils/deferredModules.mjs
+++ b/utils/deferredModules.mjs
@@ -1,14 +1,14 @@
 /**
- * An esbuild plugin for modules that a bundle loads only when they are first used. A library loads all of its parts
- * at once; what a daemon never uses would cost it memory and processor time at every start.
+ * An esbuild plugin that defers the loading of modules until their first use. Libraries load all of their modules at startup;
+ * those that a daemon never uses would cost memory and processor time at every start.
  */
 
-/** Stands for a module: whatever is done to it is done to the real one, which is loaded then. */
-const STAND_IN = `
+/** Source of a proxy for the exports of a module, which loads the module on first use and forwards to it. */
+const LAZY_PROXY = `
   const deferred = load => {
     let loaded;
     const real = () => (loaded ??= load());
-    // Copies of settings look at symbols of all that they hold, which is no use.
+    // Libraries that copy settings read symbol properties of every value in them; that must not load the module.
     const isUse = key => typeof key === 'string' || key === Symbol.hasInstance;
     return new Proxy(function () {}.bind(), {
       get: (target, key) => (isUse(key) ? real() : target)[key],
@@ -20,18 +20,18 @@
 `;
 
 /**
- * Defers CommonJS modules, by the paths under which libraries require them. `parts` stay in the bundle, since they
- * share state with what is loaded; `packages` share none, and go to a second bundle, so that the first is shorter.
+ * Defers CommonJS modules, given by the paths under which libraries require them. `internalModules` stay in the bundle, since
+ * they share state with modules that are loaded; `packages` share none and go to a second bundle, which keeps the first one small.
  */
 export class DeferredModules {
-  /** Where the packages are, by the path under which they are required. */
-  found = new Map();
+  /** Resolved paths of the packages, by the path under which they are required. */
+  resolvedPackages = new Map();
 
-  constructor({ parts, packages, secondBundle }) {
-    Object.assign(this, { parts, packages, secondBundle });
+  constructor({ internalModules, packages, secondBundle }) {
+    Object.assign(this, { internalModules, packages, secondBundle });
   }
 
-  /** For the build of the bundle itself. */
+  /** The plugin for the build of the first bundle. */
   get plugin() {
     return {
       name: 'deferred-modules',
@@ -42,25 +42,29 @@
     };
   }
 
-  /** What the second bundle is built from; known once the first is built. */
+  /** Source of the entry point of the second bundle; complete once the first bundle is built. */
   get entry() {
-    const lines = [...this.found].map(([name, path]) => `${quote(name)}: () => require(${quote(path)}),`);
+    const lines = [...this.resolvedPackages].map(
+      ([name, path]) => `${quote(name)}: () => require(${quote(path)}),`,
+    );
     return `module.exports = {\n${lines.join('\n')}\n};`;
   }
 
   async #resolve(build, { path, kind, namespace, resolveDir }) {
     if (kind !== 'require-call' || namespace !== 'file') return undefined;
-    if (this.parts.includes(path)) return { path: `${resolveDir}\n${path}`, namespace: 'deferred' };
+    if (this.internalModules.includes(path)) return { path: `${resolveDir}\n${path}`, namespace: 'deferred' };
     if (!this.packages.includes(path)) return undefined;
-    const { path: place } = await build.resolve(path, { resolveDir, kind: 'import-statement' });
-    this.found.set(path, place);
+    const { path: resolvedPath } = await build.resolve(path, { resolveDir, kind: 'import-statement' });
+    this.resolvedPackages.set(path, resolvedPath);
     return { path, namespace: 'deferred' };
   }
 
   #load(path) {
-    const [resolveDir, part] = path.split('\n');
-    const load = part ? `require(${quote(part)})` : `require(${quote(this.secondBundle)})[${quote(path)}]()`;
-    return { contents: `${STAND_IN} module.exports = deferred(() => ${load});`, resolveDir };
+    const [resolveDir, internalModule] = path.split('\n');
+    const load = internalModule
+      ? `require(${quote(internalModule)})`
+      : `require(${quote(this.secondBundle)})[${quote(path)}]()`;
+    return { contents: `${LAZY_PROXY} module.exports = deferred(() => ${load});`, resolveDir };
   }
 }
 
--- a/utils/writeCodeCache.cjs
+++ b/utils/writeCodeCache.cjs
@@ -1,6 +1,7 @@
 /**
- * Runs two bundled daemons on stand-ins for a moment, and keeps what V8 compiled meanwhile, so that a daemon that
- * starts needn't compile it again. V8 takes it only with the same flags, so that this runs with those of deploy/.
+ * Runs two bundled daemons with stand-ins, sends requests through them and writes what V8 has compiled to a code cache, so that
+ * a daemon needn't compile it again at startup. V8 rejects a cache that was created under other flags, so the build runs this
+ * script with those of deploy/system.toml.
  */
 const { writeFileSync } = require('node:fs');
 const { request, Agent } = require('node:http');
@@ -11,17 +12,17 @@
 const { load, CODE_CACHE } = require(join(target, 'cleatquay.cjs'));
 const { PlatformStoreStandin, PlatformUpstreamStandin } = require(join(target, 'standins.cjs'));
 
-/** Enough for every step of a request to be compiled. */
+/** Enough for V8 to compile all code on the path of a request. */
 const REQUESTS = 200;
-/** Two daemons are ready within a second or two; a build must not wait for ever for those that never are, ms. */
-const LONGEST_START_MS = 30_000;
+/** Two daemons are ready within a second or two; if they never are, the build must fail instead of waiting forever. */
+const MAX_START_MS = 30_000;
 const ANY_PORT = '127.0.0.1:0';
 
-const { script, exports: program } = load();
+const { script, exports: bundle } = load();
 
 function settingsFor(service, store) {
   const retries = { ratio: 0, extra: 0, windowMs: 1000 };
-  const place = {
+  const location = {
     ip: '127.0.0.1',
     failureDomain: 'here',
     seeds: [],
@@ -30,7 +31,7 @@
     operatorPort: 0,
   };
   const daemon = {
-    ...place,
+    ...location,
     service,
     callers: ANY_PORT,
     heartbeatMs: 1000,
@@ -42,7 +43,7 @@
 }
 
 async function startNode(service, store, calls) {
-  const daemon = await program.startDaemonWith(settingsFor(service, store));
+  const daemon = await bundle.startDaemonWith(settingsFor(service, store));
   const addresses = Object.fromEntries(daemon.addresses);
   const upstream = new PlatformUpstreamStandin(`i-${service}`, service, addresses, { workMs: 1, calls });
   await upstream.listen();
@@ -50,13 +51,13 @@
   return { ...addresses, isReady: () => daemon.isReady };
 }
 
-function ask(agent, address, host, method, id) {
+function sendRequest(agent, address, host, method, id) {
   const [ip, port] = address.split(':');
   const headers = { host, 'Request-Id': id, 'Deadline-Ms': '2000' };
   return new Promise(resolve => {
-    const call = request({ agent, host: ip, port, path: '/x', method, headers }, answer => {
-      answer.resume();
-      answer.on('end', () => resolve(answer.statusCode));
+    const call = request({ agent, host: ip, port, path: '/x', method, headers }, response => {
+      response.resume();
+      response.on('end', () => resolve(response.statusCode));
     });
     call.on('error', () => resolve(0));
     call.end(method === 'POST' ? '{}' : undefined);
@@ -86,9 +87,9 @@
     await startNode('a', address, [{ host: 'b.example', path: '/y' }]),
     await startNode('b', address, []),
   ];
-  const latest = performance.now() + LONGEST_START_MS;
+  const deadline = performance.now() + MAX_START_MS;
   while (!nodes.every(node => node.isReady())) {
-    if (performance.now() > latest) throw new Error('The daemons did not get ready.');
+    if (performance.now() > deadline) throw new Error('The daemons were not ready in time.');
     await new Promise(resolve => setTimeout(resolve, 20));
   }
   const agent = new Agent({ keepAlive: true });
@@ -100,11 +101,11 @@
       ['c.example', 'POST'],
       ['no.example', 'GET'],
     ][i % 4];
-    const status = await ask(agent, nodes[(i >> 2) % 2].callers, host, method, `q${String(i)}`);
+    const status = await sendRequest(agent, nodes[(i >> 2) % 2].callers, host, method, `q${String(i)}`);
     statuses.set(status, (statuses.get(status) ?? 0) + 1);
   }
   if ((statuses.get(200) ?? 0) < REQUESTS / 4)
-    throw new Error(`Unexpected answers: ${JSON.stringify([...statuses])}`);
+    throw new Error(`Unexpected response statuses: ${JSON.stringify([...statuses])}`);
   writeFileSync(CODE_CACHE, script.createCachedData());
   process.exit(0);
 }
--- a/utils/writeReferences.mjs
+++ b/utils/writeReferences.mjs
@@ -1,4 +1,4 @@
-// Writes the pages that come from code: schemas/*.json and docs/RESULT-CODES.md. Run after `npm run build`.
+// Generates the reference files from code: schemas/*.json and docs/RESULT-CODES.md. Run after `npm run build`.
 import { resultCodes } from '@cleatquay/errors';
 import { OperatorFileSchema, ProcessSettingsSchema } from '@cleatquay/settings';
 import { writeFileSync } from 'node:fs';
@@ -19,9 +19,9 @@
 Every refusal and error carries one of these. Over HTTP: the status, the header \`cleatquay-outcome\`, and a JSON body
 with \`code\`, \`result\`, \`outcome\`, \`message\`, \`advice\` and \`retryAfterMs\`. On the command line: \`CQ<code>\` on stderr.
 
-- **not-run**: the request ran nowhere, in this try or any earlier one under the same request id, and never will.
-- **unknown**: it may have run. Send it again with the same request id to learn how it went.
-- **failed**: it was given to an upstream, which broke off or refused it.
+- **not-run**: the request ran nowhere, in this attempt or any earlier one under the same request id, and never will.
+- **unknown**: it may have run. Send it again with the same request id to learn its outcome.
+- **failed**: an upstream received it, and refused it or failed before its response was complete.
 
 Written by \`node utils/writeReferences.mjs\`; a test compares it with the code.
 
