--- a/packages/bench/src/chain.ts
+++ b/packages/bench/src/chain.ts
@@ -2,45 +2,45 @@
 import { type OperatorFile, checkOperatorFile } from '@cleatquay/settings';
 import { type FleetOptions } from './fleet.js';
 
-/** Most important first, as in the operators' files. */
+/** Highest priority first, as in operator files. */
 export const CLASSES = ['critical', 'normal', 'bulk'] as const;
-/** A class of the chain's entry routes. */
+/** A priority class of the ingress routes. */
 export type ChainClass = (typeof CLASSES)[number];
 
-const DOMAINS = ['domain-a', 'domain-b', 'domain-c'];
+const FAILURE_DOMAINS = ['domain-a', 'domain-b', 'domain-c'];
 const TIMEOUT_MS = 4000;
-const UPPER = { slots: 64, serviceMs: 8 };
+const OTHER_SERVICE = { slots: 64, serviceMs: 8 };
 const BOTTLENECK = { slots: 8, serviceMs: 160 };
 
-/** Upstreams of each service: fewer in a deep chain, so that the machine's processors are not what is short. */
-function upstreamsAt(depth: number): number {
+/** Upstreams per service: fewer in a deep chain, so that the bottleneck and not the processors of the machine limits it. */
+function upstreamsPerService(depth: number): number {
   return depth > 5 ? 2 : 3;
 }
 
-/** Requests a second that the bottleneck of a chain can answer. */
+/** Capacity of the bottleneck of a chain, requests a second. */
 export function chainCapacity(depth: number): number {
-  return (upstreamsAt(depth) * BOTTLENECK.slots * 1000) / BOTTLENECK.serviceMs;
+  return (upstreamsPerService(depth) * BOTTLENECK.slots * 1000) / BOTTLENECK.serviceMs;
 }
 
-/** Name of the service at a depth, from 1. */
+/** Name of the service at a depth; 1 is the ingress service. */
 export function serviceAt(depth: number): string {
   return `s${String(depth)}`;
 }
 
-/** The operators' file of a chain; `fanOut` calls of each service go to the next. */
+/** The operator file of a chain; each request to a service makes `fanOut` calls to the next. */
 export function chainFile(depth: number, fanOut = 1): OperatorFile {
   const services: Record<string, unknown> = {};
   for (let at = 1; at <= depth; at++) {
-    const { slots } = at === depth ? BOTTLENECK : UPPER;
+    const { slots } = at === depth ? BOTTLENECK : OTHER_SERVICE;
     const calls = at < depth ? Array.from({ length: fanOut }, () => `${serviceAt(at + 1)}.run`) : [];
     const route = { idempotent: true, timeoutMs: TIMEOUT_MS, calls };
     const run = { ...route, method: 'GET', path: '/run', class: CLASSES[2] };
-    const entries = {
+    const ingressRoutes = {
       critical: { ...route, idempotent: false, method: 'POST', path: '/critical', class: CLASSES[0] },
       normal: { ...route, method: 'GET', path: '/normal', class: CLASSES[1] },
       bulk: { ...route, method: 'GET', path: '/bulk', class: CLASSES[2] },
     };
-    services[serviceAt(at)] = { slots, maxQueueMs: 120, routes: at === 1 ? entries : { run } };
+    services[serviceAt(at)] = { slots, maxQueueMs: 120, routes: at === 1 ? ingressRoutes : { run } };
   }
   const file = {
     deployment: 'chain',
@@ -52,15 +52,15 @@
   return checkOperatorFile(file);
 }
 
-/** The VMs of a chain: each service has one in each of its failure domains. */
+/** The VMs of a chain: for each service, one VM in each of two or three failure domains. */
 export function chainNodes(depth: number): FleetOptions['nodes'] {
-  const upstreams = upstreamsAt(depth);
+  const upstreams = upstreamsPerService(depth);
   return Array.from({ length: depth * upstreams }, (_, i) => {
     const at = Math.floor(i / upstreams) + 1;
     return {
       service: serviceAt(at),
-      failureDomain: DOMAINS[i % upstreams] ?? '',
-      behaviour: at === depth ? BOTTLENECK : UPPER,
+      failureDomain: FAILURE_DOMAINS[i % upstreams] ?? '',
+      behaviour: at === depth ? BOTTLENECK : OTHER_SERVICE,
     };
   });
 }
--- a/packages/bench/src/experiments/capacity.ts
+++ b/packages/bench/src/experiments/capacity.ts
@@ -1,4 +1,4 @@
-/** Measures the slopes of docs/CAPACITY.md: what control costs a daemon, by fleet size, change and member. */
+/** Measures the cost figures of docs/CAPACITY.md: control-plane cost of a daemon by fleet size, change and member. */
 import { SystemClock } from '@cleatquay/clock';
 import { ConfigurationStore } from '@cleatquay/configuration';
 import { MemberTable } from '@cleatquay/membership';
@@ -14,54 +14,54 @@
 const SETTLE_MS = 5000;
 const FLEET_SETTLE_MS = 20_000;
 const GOSSIP_SETTLE_MS = 60_000;
-const WARM_UPS = 3;
-const IDLE_MS = 15_000;
+const WARM_UP_BURSTS = 3;
+const IDLE_MEASUREMENT_MS = 15_000;
 const CHANGES = 6;
-const CHANGE_EVERY_MS = 3000;
+const CHANGE_INTERVAL_MS = 3000;
 const TABLE_MEMBERS = 10_000;
 const SIMULATED_SECONDS = 30;
 const SIMULATED_CHANGES = 20;
-const ANNOUNCE_EVERY_MS = 1000;
+const ANNOUNCE_INTERVAL_MS = 1000;
 
-/** Per-daemon figures of a fleet of real processes that carries no calls. */
+/** Mean cost per daemon in a fleet of real processes without calls. */
 export interface FleetCost {
   readonly daemons: number;
-  /** Percent of a core, idle and with a change of configuration every three seconds. */
+  /** Percent of a core: idle, and with a configuration change every three seconds. */
   readonly idleCpu: number;
   readonly changingCpu: number;
-  /** Bytes a second sent and received, gossip and configuration. */
+  /** Bytes a second: gossip sent and received, plus configuration received. */
   readonly idleBytes: number;
   readonly changingBytes: number;
   readonly residentMb: number;
-  /** From acceptance until in force at 99 in 100 daemons, and at all, ms; the slowest change. */
-  readonly spreadP99Ms: number;
-  readonly spreadMaxMs: number;
+  /** Time from acceptance of a change until 99% and all daemons have adopted it, ms; for the slowest change. */
+  readonly distributionP99Ms: number;
+  readonly distributionMaxMs: number;
 }
 
-/** Gossip of simulated members: bytes a second each sends when nothing changes, and bytes for one change. */
+/** Gossip cost per simulated member: bytes sent a second when nothing changes, and bytes sent for one change. */
 export interface GossipCost {
   readonly members: number;
   readonly idleBytes: number;
   readonly bytesPerChange: number;
 }
 
-/** Starts `count` daemons with an upstream each and measures them. */
+/** Starts `count` daemons, announces an upstream at each, and measures their cost. */
 export async function measureFleet(count: number): Promise<FleetCost> {
   const clock = new SystemClock();
   await using group = await DaemonGroup.start(count);
   const listener = createServer(socket => socket.destroy());
   await new Promise<void>(resolve => listener.listen(0, '127.0.0.1', resolve));
   const address = `127.0.0.1:${String((listener.address() as AddressInfo).port)}`;
-  const announcing = setInterval(() => void group.announceAll(address), ANNOUNCE_EVERY_MS);
+  const announcing = setInterval(() => void group.announceAll(address), ANNOUNCE_INTERVAL_MS);
   try {
     await clock.sleep(FLEET_SETTLE_MS);
-    const idle = await costOver(group, () => clock.sleep(IDLE_MS));
-    const spreads: number[][] = [];
-    const changing = await costOver(group, async () => {
-      for (let i = 1; i <= CHANGES; i++) spreads.push(await changeOnce(group, clock, i));
+    const idle = await costDuring(group, () => clock.sleep(IDLE_MEASUREMENT_MS));
+    const distributionTimes: number[][] = [];
+    const changing = await costDuring(group, async () => {
+      for (let i = 1; i <= CHANGES; i++) distributionTimes.push(await applyChange(group, clock, i));
     });
     const worst = (share: number) =>
-      Math.max(...spreads.map(s => s[Math.ceil(s.length * share) - 1] ?? Number.NaN));
+      Math.max(...distributionTimes.map(s => s[Math.ceil(s.length * share) - 1] ?? Number.NaN));
     return {
       daemons: count,
       idleCpu: idle.cpu,
@@ -69,8 +69,8 @@
       idleBytes: idle.bytes,
       changingBytes: changing.bytes,
       residentMb: changing.residentMb,
-      spreadP99Ms: worst(0.99),
-      spreadMaxMs: worst(1),
+      distributionP99Ms: worst(0.99),
+      distributionMaxMs: worst(1),
     };
   } finally {
     clearInterval(announcing);
@@ -78,28 +78,28 @@
   }
 }
 
-/** Applies one change; gives the times until it was in force at each daemon, sorted. */
-async function changeOnce(group: DaemonGroup, clock: SystemClock, slots: number): Promise<number[]> {
+/** Applies one change, and returns the sorted times until each daemon adopted it; infinite where it was not adopted. */
+async function applyChange(group: DaemonGroup, clock: SystemClock, slots: number): Promise<number[]> {
   const deployment = deployments.frostline;
-  if (!deployment) throw new Error('The deployment is missing.');
+  if (!deployment) throw new Error('The deployment frostline is missing.');
   const file = structuredClone(fileOf(deployment));
   const alarms = file.services.alarms;
   if (alarms) alarms.slots = slots;
   await using platform = new HttpStore(group.platformUrl);
   const { applied } = await new ConfigurationStore(platform, clock).apply(file);
   const acceptedAt = Date.now();
-  await clock.sleep(CHANGE_EVERY_MS);
-  const adoptions = await group.adoptions(applied.generation);
+  await clock.sleep(CHANGE_INTERVAL_MS);
+  const adoptions = await group.adoptionTimes(applied.generation);
   return adoptions
     .map(at => (at === undefined ? Number.POSITIVE_INFINITY : at - acceptedAt))
     .sort((a, b) => a - b);
 }
 
-async function costOver(group: DaemonGroup, action: () => Promise<void>) {
+async function costDuring(group: DaemonGroup, action: () => Promise<void>) {
   const start = performance.now();
-  const before = await group.counters();
+  const before = await group.resourceUsage();
   await action();
-  const after = await group.counters();
+  const after = await group.resourceUsage();
   const seconds = (performance.now() - start) / 1000;
   const mean = (of: (i: number) => number) => before.reduce((sum, _, i) => sum + of(i), 0) / before.length;
   const rate = (name: 'cpuSeconds' | 'bytes') =>
@@ -111,17 +111,17 @@
   };
 }
 
-/** Gossip among members in this process, by simulated time. */
+/** Measures gossip among members in this process, in simulated time. */
 export async function measureGossip(members: number): Promise<GossipCost> {
   await using network = new SimulatedNetwork('capacity');
   const addresses = simulatedAddresses(members);
   for (const address of addresses) network.start(address, addresses.slice(0, 3));
   await network.pass(GOSSIP_SETTLE_MS);
   const sent = () => addresses.reduce((sum, address) => sum + network.get(address).traffic.sentBytes, 0);
-  const atStart = sent();
+  const beforeIdle = sent();
   await network.pass(SIMULATED_SECONDS * 1000);
-  const idle = sent() - atStart;
-  const atChanges = sent();
+  const idle = sent() - beforeIdle;
+  const beforeChanges = sent();
   for (let i = 0; i < SIMULATED_CHANGES; i++) {
     const address = addresses[(i * 7) % members] ?? '';
     network
@@ -129,7 +129,7 @@
       .setUpstreams([{ service: 's', address, slots: i + 1, connections: 9, draining: false }]);
     await network.pass((SIMULATED_SECONDS * 1000) / SIMULATED_CHANGES);
   }
-  const changing = sent() - atChanges;
+  const changing = sent() - beforeChanges;
   return {
     members,
     idleBytes: idle / members / SIMULATED_SECONDS,
@@ -137,20 +137,21 @@
   };
 }
 
-/** Bytes of heap that one known member costs. */
+/** Heap bytes per member in the member table. */
 export function measureMemberBytes(): number {
   const heap = () => {
     globalThis.gc?.();
     return process.memoryUsage().heapUsed;
   };
   const before = heap();
-  const known = new MemberTable();
-  for (const address of simulatedAddresses(TABLE_MEMBERS)) known.put(Object.freeze(memberAt(address)));
-  const bytes = (heap() - before) / known.size;
+  const memberTable = new MemberTable();
+  for (const address of simulatedAddresses(TABLE_MEMBERS))
+    memberTable.put(Object.freeze(createMember(address)));
+  const bytes = (heap() - before) / memberTable.size;
   return bytes;
 }
 
-function memberAt(address: string) {
+function createMember(address: string) {
   const upstreams = [{ service: 'history', address, slots: 90, connections: 630, draining: false }];
   const places = {
     address,
@@ -168,52 +169,52 @@
   };
 }
 
-/** Processor time of the two daemons of a call, ms: a fleet with load less the same without. */
+/** Processor time per call of the two daemons that handle it, ms. */
 export interface CallCost {
-  readonly entryMs: number;
-  readonly upstreamSideMs: number;
+  readonly ingressMs: number;
+  readonly upstreamDaemonMs: number;
 }
 
 const CALLS = 4000;
-const AT_ONCE = 4;
+const CONCURRENCY = 4;
 
-/** Sends calls over two daemons and takes the processor time that they used. */
+/** Sends calls through two daemons and measures the processor time that they use. */
 export async function measureCall(): Promise<CallCost> {
   await using group = await DaemonGroup.start(2);
   const server = (await import('node:http')).createServer((_request, response) => response.end('{}'));
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
   const address = `127.0.0.1:${String((server.address() as AddressInfo).port)}`;
-  const announcing = setInterval(() => void group.announceOne(1, address), ANNOUNCE_EVERY_MS);
+  const announcing = setInterval(() => void group.announceOne(1, address), ANNOUNCE_INTERVAL_MS);
   await new SystemClock().sleep(SETTLE_MS);
   const url = `http://${group.callerAddress(0)}/alarms/alarms/7`;
   const call = async () => {
-    for (let i = 0; i < CALLS / AT_ONCE; i++) await (await request(url)).body.dump();
+    for (let i = 0; i < CALLS / CONCURRENCY; i++) await (await request(url)).body.dump();
   };
-  const burst = () => Promise.all(Array.from({ length: AT_ONCE }, call));
-  for (let i = 0; i < WARM_UPS; i++) await burst();
-  const before = await group.counters();
+  const burst = () => Promise.all(Array.from({ length: CONCURRENCY }, call));
+  for (let i = 0; i < WARM_UP_BURSTS; i++) await burst();
+  const before = await group.resourceUsage();
   await burst();
-  const after = await group.counters();
+  const after = await group.resourceUsage();
   clearInterval(announcing);
   server.closeAllConnections();
   server.close();
   const ms = (i: number) => (((after[i]?.cpuSeconds ?? 0) - (before[i]?.cpuSeconds ?? 0)) * 1000) / CALLS;
-  return { entryMs: ms(0), upstreamSideMs: ms(1) };
+  return { ingressMs: ms(0), upstreamDaemonMs: ms(1) };
 }
 
-/** All slopes, as tables. */
+/** Runs all measurements and logs their figures as tables. */
 export async function measureCapacity(sizes: readonly number[], log: (line: string) => void): Promise<void> {
   const calls = await measureCall();
   log(
     table(
       ['per call', 'processor ms'],
       [
-        ['entry', calls.entryMs.toFixed(3)],
-        ['beside the upstream', calls.upstreamSideMs.toFixed(3)],
+        ['ingress daemon', calls.ingressMs.toFixed(3)],
+        ['daemon of the upstream', calls.upstreamDaemonMs.toFixed(3)],
       ],
     ),
   );
-  log(`One known member: ${measureMemberBytes().toFixed(0)} bytes of heap.`);
+  log(`One entry of the member table: ${measureMemberBytes().toFixed(0)} bytes of heap.`);
   const gossip: (string | number)[][] = [];
   for (const members of [30, 100, 300]) {
     const cost = await measureGossip(members);
@@ -224,8 +225,8 @@
   for (const size of sizes) {
     const c = await measureFleet(size);
     const numbers = [c.idleCpu, c.changingCpu].map(n => n.toFixed(2));
-    const bytes = [c.idleBytes, c.changingBytes, c.residentMb, c.spreadP99Ms, c.spreadMaxMs].map(n =>
-      n.toFixed(0),
+    const bytes = [c.idleBytes, c.changingBytes, c.residentMb, c.distributionP99Ms, c.distributionMaxMs].map(
+      n => n.toFixed(0),
     );
     fleets.push([c.daemons, ...numbers, ...bytes]);
     log(`Measured ${String(size)} daemons.`);
@@ -237,8 +238,8 @@
     'idle B/s',
     'changing B/s',
     'resident MB',
-    'spread p99 ms',
-    'spread max ms',
+    'distribution p99 ms',
+    'distribution max ms',
   ];
   log(table(head, fleets));
 }
--- a/packages/bench/src/experiments/index.ts
+++ b/packages/bench/src/experiments/index.ts
@@ -1,78 +1,79 @@
-/** The experiments by name. */
-import { type ExperimentResult, violationsOf } from '../results.js';
-import { type OverloadShape, VARIANTS, runOverload } from './overload.js';
-import { type FleetRun, runPartition, runRollingReplace } from './fleetRuns.js';
+/** All experiments of the bench, by name. */
+import { type ExperimentResult, findViolations } from '../results.js';
+import { type OverloadScenario, VARIANTS, runOverload } from './overload.js';
+import { type FleetRunResult, runPartition, runRollingReplace } from './fleetRuns.js';
 import { runTruth } from './truth.js';
 
-/** One experiment. */
 export interface Experiment {
   readonly summary: string;
   readonly run: (options: ExperimentOptions) => Promise<ExperimentResult>;
 }
 
-/** What the command line gives. */
+/** Options from the command line. */
 export interface ExperimentOptions {
   readonly name: string;
   readonly seed: string;
   readonly variants: readonly string[];
-  /** Length of the experiments that have no fixed one, s. */
+  /** Duration of the experiments that have no fixed one, seconds. */
   readonly seconds: number;
   readonly log: (line: string) => void;
 }
 
-const MOST_TRIES = 4;
-/** Beyond this the figures tell of the machine. */
-const MOST_PROCESSOR_USE = 0.85;
+const MAX_ATTEMPTS = 4;
+/** Above this utilisation the machine, not the upstreams, limits the figures. */
+const MAX_PROCESSOR_USE = 0.85;
 
-function overload(summary: string, shape: OverloadShape): Experiment {
+function overload(summary: string, scenario: OverloadScenario): Experiment {
   return {
     summary,
     run: async ({ name, seed, variants, log }) => {
       const result: ExperimentResult = { experiment: name, seed, variants: {}, violations: [] };
       for (const variant of variants.length > 0 ? variants : Object.keys(VARIANTS)) {
         log(`Running ${name}, ${variant}.`);
-        const figures = await runOverload(shape, variant, seed);
+        const figures = await runOverload(scenario, variant, seed);
         result.variants[variant] = figures;
-        if ((figures.processorUse ?? 0) > MOST_PROCESSOR_USE)
-          log(`${variant}: the processor was short, not the upstreams.`);
-        if (variant !== 'unprotected') result.violations.push(...violationsOf(variant, figures, MOST_TRIES));
+        if ((figures.processorUse ?? 0) > MAX_PROCESSOR_USE)
+          log(`${variant}: the machine's processors were the bottleneck, not the upstreams.`);
+        if (variant !== 'unprotected')
+          result.violations.push(...findViolations(variant, figures, MAX_ATTEMPTS));
       }
       return result;
     },
   };
 }
 
-/** Callers told the truth, without faults and with one a second. */
+/** Checks that outcomes reported to callers are true, without faults and with one fault a second on average. */
 const truth: Experiment = {
-  summary: 'random kills, freezes, cuts and outages around confirmations; callers compared with ledgers',
+  summary:
+    "random kills, freezes, partitions and outages; compares outcomes seen by callers with the upstreams' ledgers",
   run: async ({ name, seed, variants, seconds, log }) => {
     const result: ExperimentResult = { experiment: name, seed, variants: {}, violations: [] };
     for (const variant of variants.length > 0 ? variants : ['calm', 'faults']) {
       log(`Running ${name}, ${variant}.`);
       const figures = await runTruth(variant === 'faults', seed, seconds);
       result.variants[variant] = figures;
-      result.violations.push(...violationsOf(variant, figures, MOST_TRIES));
+      result.violations.push(...findViolations(variant, figures, MAX_ATTEMPTS));
       if (variant === 'calm' && figures.unknownShare > 0)
-        result.violations.push('calm: callers were told "unknown".');
+        result.violations.push('calm: callers got the outcome "unknown".');
     }
     return result;
   },
 };
 
-/** A run of a fleet, in which each part has to answer a share of its requests. */
+/** A run of a whole fleet, each part of which must answer a minimum ratio of its requests. */
 function fleetRun(
   summary: string,
-  least: number,
-  run: (seed: string, seconds: number) => Promise<FleetRun>,
+  minAnsweredShare: number,
+  run: (seed: string, seconds: number) => Promise<FleetRunResult>,
 ): Experiment {
   return {
     summary,
     run: async ({ name, seed, seconds, log }) => {
       log(`Running ${name}.`);
       const { figures, answered } = await run(seed, seconds);
-      const short = Object.entries(answered).filter(([, share]) => share < least);
-      const violations = short.map(([part, share]) => `${part} answered ${share.toFixed(4)}.`);
-      violations.push(...violationsOf('full', figures, MOST_TRIES));
+      const belowMinimum = Object.entries(answered).filter(([, share]) => share < minAnsweredShare);
+      const violations = belowMinimum.map(([part, share]) => `${part} answered ${share.toFixed(4)}.`);
+      violations.push(...findViolations('full', figures, MAX_ATTEMPTS));
       return {
         experiment: name,
         seed,
@@ -83,48 +84,56 @@
   };
 }
 
-/** All of them. */
 export const experiments: Readonly<Record<string, Experiment>> = {
-  steady: overload('85% load, nothing goes wrong', { depth: 3, demand: 0.85, slowFactor: 1, normal: 0.85 }),
-  surge: overload('three times the capacity is asked for', { depth: 3, demand: 3, slowFactor: 1 }),
+  steady: overload('85% load without faults', {
+    depth: 3,
+    demand: 0.85,
+    slowFactor: 1,
+    normalDemand: 0.85,
+  }),
+  surge: overload('demand is three times the capacity', { depth: 3, demand: 3, slowFactor: 1 }),
   'deep-slowdown': overload('the deepest of four services slows down threefold', {
     depth: 4,
     demand: 0.7,
     slowFactor: 3,
   }),
-  'slowdown-and-surge': overload('the deepest of four slows down twofold while demand doubles', {
+  'slowdown-and-surge': overload('the deepest of four services slows down twofold while demand doubles', {
     depth: 4,
     demand: 1.5,
     slowFactor: 2,
   }),
-  'slowdown-and-surge-7': overload('the same, seven deep', { depth: 7, demand: 1.5, slowFactor: 2 }),
+  'slowdown-and-surge-7': overload('the same with seven services', {
+    depth: 7,
+    demand: 1.5,
+    slowFactor: 2,
+  }),
   truth,
   partition: fleetRun(
-    'one of three failure domains is cut off, and all from the platform',
+    'one of three failure domains is partitioned from the others, and the platform is down',
     0.95,
     runPartition,
   ),
-  'rolling-replace': fleetRun('every VM is replaced in turn under load', 1, runRollingReplace),
+  'rolling-replace': fleetRun('all VMs are replaced one by one under load', 1, runRollingReplace),
   'upstream-kill': overload('one of three upstreams of the deepest service is killed', {
     depth: 3,
     demand: 0.7,
     slowFactor: 1,
-    disturb: async (_fleet, [first]) => Promise.resolve(first?.upstream.signal('SIGKILL')),
+    injectFault: async (_fleet, [first]) => Promise.resolve(first?.upstream.signal('SIGKILL')),
   }),
-  'gray-upstream': overload('one of three upstreams of the deepest service answers ten times slower', {
+  'gray-upstream': overload('one of three upstreams of the deepest service responds ten times slower', {
     depth: 3,
     demand: 0.5,
     slowFactor: 1,
-    normal: 0.5,
-    disturb: async (fleet, [first]) => {
+    normalDemand: 0.5,
+    injectFault: async (fleet, [first]) => {
       if (first) await fleet.behave(first, { slowFactor: 10 });
     },
   }),
-  'platform-outage-under-surge': overload('a surge while the platform gives no answers', {
+  'platform-outage-under-surge': overload('demand is three times the capacity while the platform is down', {
     depth: 3,
     demand: 3,
     slowFactor: 1,
-    disturb: fleet => fleet.disturbPlatform({ down: true }),
-    calm: fleet => fleet.disturbPlatform({ down: false }),
+    injectFault: fleet => fleet.disturbPlatform({ down: true }),
+    clearFault: fleet => fleet.disturbPlatform({ down: false }),
   }),
 };
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- list | run <experiment>` */
+/** Command line of the bench: `npm run bench -- list | run <experiment> | capacity`. */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 import { measureCapacity } from './experiments/capacity.js';
@@ -6,27 +6,27 @@
 import { table } from './output.js';
 import { type ExperimentResult } from './results.js';
 
-const EXIT_VIOLATION = 1;
+const VIOLATION_EXIT_CODE = 1;
 
 await yargs(hideBin(process.argv))
   .scriptName('bench')
   .command(
     'list',
-    'the experiments',
+    'list the experiments',
     y => y,
     () => {
       const rows = Object.entries(experiments).map(([name, { summary }]) => [name, summary]);
-      process.stdout.write(`${table(['experiment', 'what happens'], rows)}\n`);
+      process.stdout.write(`${table(['experiment', 'description'], rows)}\n`);
     },
   )
   .command(
     'run <experiment>',
-    'run an experiment on real daemons',
+    'run an experiment against real daemon processes',
     y =>
       y.positional('experiment', { choices: Object.keys(experiments), demandOption: true }).options({
         seed: { type: 'string', default: '1' },
-        variants: { type: 'string', default: '', describe: 'comma-separated; all unless given' },
-        seconds: { type: 'number', default: 30, describe: 'length of truth' },
+        variants: { type: 'string', default: '', describe: 'comma-separated; default: all' },
+        seconds: { type: 'number', default: 30, describe: 'duration of truth and partition' },
         json: { type: 'boolean', default: false, describe: 'one JSON object on stdout and nothing else' },
       }),
     async argv => {
@@ -40,15 +40,18 @@
         log,
       });
       if (!result) return;
-      process.stdout.write(argv.json ? JSON.stringify(result) : describe(result));
+      process.stdout.write(argv.json ? JSON.stringify(result) : formatResult(result));
       process.stdout.write('\n');
-      process.exitCode = result.violations.length > 0 ? EXIT_VIOLATION : 0;
+      process.exitCode = result.violations.length > 0 ? VIOLATION_EXIT_CODE : 0;
     },
   )
   .command(
     'capacity',
-    'measure the slopes of docs/CAPACITY.md',
-    y => y.options({ sizes: { type: 'string', default: '15,30,60,120', describe: 'numbers of daemons' } }),
+    'measure the cost figures of docs/CAPACITY.md',
+    y =>
+      y.options({
+        sizes: { type: 'string', default: '15,30,60,120', describe: 'fleet sizes, comma-separated' },
+      }),
     argv =>
       measureCapacity(argv.sizes.split(',').map(Number), line => void process.stdout.write(`${line}\n`)),
   )
@@ -56,22 +59,23 @@
   .strict()
   .parse();
 
-function describe({ variants, violations, seed }: ExperimentResult): string {
+function formatResult({ variants, violations, seed }: ExperimentResult): string {
   const names = Object.keys(variants);
-  const figures = [...new Set(Object.values(variants).flatMap(variant => Object.keys(flat(variant))))];
+  const figures = [...new Set(Object.values(variants).flatMap(variant => Object.keys(flatten(variant))))];
   const rows = figures.map(figure => [
     figure,
-    ...names.map(name => flat(variants[name] ?? {})[figure] ?? ''),
+    ...names.map(name => flatten(variants[name] ?? {})[figure] ?? ''),
   ]);
-  const broken = violations.length === 0 ? 'No invariant was violated.' : violations.join('\n');
-  return `${table([`seed ${seed}`, ...names], rows)}\n${broken}`;
+  const violationText = violations.length === 0 ? 'No invariant was violated.' : violations.join('\n');
+  return `${table([`seed ${seed}`, ...names], rows)}\n${violationText}`;
 }
 
-/** Nested figures as `goodput.total`, rounded. */
-function flat(value: object, prefix = ''): Record<string, string> {
+/** Flattens nested figures to keys such as `goodput.total`, with numbers rounded to three decimals. */
+function flatten(value: object, prefix = ''): Record<string, string> {
   return Object.fromEntries(
     Object.entries(value).flatMap(([key, inner]: [string, unknown]): [string, string][] => {
-      if (typeof inner === 'object' && inner !== null) return Object.entries(flat(inner, `${prefix}${key}.`));
+      if (typeof inner === 'object' && inner !== null)
+        return Object.entries(flatten(inner, `${prefix}${key}.`));
       return [
         [prefix + key, typeof inner === 'number' ? String(Math.round(inner * 1000) / 1000) : String(inner)],
       ];
