--- a/packages/calls/src/answers.ts
+++ b/packages/calls/src/answers.ts
@@ -1,7 +1,7 @@
 /** Splits responses into parts, verifies them by length and checksum, and records and replays complete ones. */
 import { type AnswerHead, type AnswerPart, type Load, noLoad } from '@cleatquay/protocol';
 import { crc32 } from 'node:zlib';
-import { type CallAnswer, answerOf } from './callHandler.js';
+import { type CallResponse, singlePartResponse } from './callHandler.js';
 
 /**
  * Body bytes from which a part is sent. A response up to this size is a single part, and if it is truncated, the request
@@ -62,10 +62,10 @@
   start: Buffer,
   rest: AsyncIterable<Buffer> | undefined,
   finish: () => { load: Load; unusedRetryTokens: number },
-): CallAnswer {
+): CallResponse {
   const checksum = new BodyCheck();
   checksum.add(start);
-  if (!rest) return answerOf(createPart({ head, body: start, end: checksum.end, ...finish() }));
+  if (!rest) return singlePartResponse(createPart({ head, body: start, end: checksum.end, ...finish() }));
   return { first: createPart({ head, body: start }), rest: splitBody(checksum, rest, finish) };
 }
 
--- a/packages/calls/src/tryMemory.ts
+++ b/packages/calls/src/attemptRegistry.ts
@@ -22,7 +22,7 @@
 }
 
 /** Attempts by request id, each stored for the lifetime of an id. */
-export class TryMemory {
+export class AttemptRegistry {
   private readonly records = new Map<string, AttemptRecord>();
   private responseBytes = 0;
 
@@ -36,7 +36,7 @@
   }
 
   /** Registers an attempt before its admission, or returns the reason why it must not run. */
-  begin(requestId: string, attempt: number): Refusal | undefined {
+  register(requestId: string, attempt: number): Refusal | undefined {
     const known = this.records.get(requestId);
     if (known?.state === 'sealed') return refusalOf('sealed', 'The sender sealed this attempt.');
     if (known && known.state !== 'refused') {
@@ -59,7 +59,7 @@
   }
 
   /** Marks the attempt as dispatched, right before it is; returns false if it has been sealed. */
-  dispatch(requestId: string): boolean {
+  markDispatched(requestId: string): boolean {
     const record = this.records.get(requestId);
     if (record?.state !== 'admitting') return false;
     record.state = 'dispatched';
@@ -77,7 +77,7 @@
   }
 
   /** The dispatched attempt certainly did not run: no connection to the upstream, or the upstream refused it. */
-  notDispatched(requestId: string): void {
+  markNotDispatched(requestId: string): void {
     const record = this.records.get(requestId);
     if (record?.state !== 'dispatched') return;
     record.state = 'refused';
--- a/packages/calls/src/senders.ts
+++ b/packages/calls/src/authenticator.ts
@@ -23,17 +23,17 @@
 }
 
 /** Dependencies on the daemon. */
-export interface SendersOptions {
+export interface AuthenticatorOptions {
   readonly random: Random;
   /** Whether the active configuration is known to hold no key that has been revoked. */
-  readonly areKeysProven: () => boolean;
+  readonly areRevocationsCurrent: () => boolean;
 }
 
 const ANONYMOUS: Principal = { organisation: undefined };
 
 /** Authenticates requests by their keys. */
-export class Senders {
-  constructor(private readonly options: SendersOptions) {}
+export class Authenticator {
+  constructor(private readonly options: AuthenticatorOptions) {}
 
   /**
    * A call of an upstream bears no key, since it is part of a request that did. A key that is presented has to be valid, even where none is needed.
@@ -41,14 +41,14 @@
    * Revocations are checked once, at the ingress: the request was sent before that, so that it is within the bound for revocations however long it
    * waits afterwards. While revocations are not known to be current, an unknown key may be a new one, so that it is not refused as unknown.
    */
-  of({ credentials, keyring, isPublic, isCall }: AuthenticationRequest): Principal | Refusal {
+  authenticate({ credentials, keyring, isPublic, isCall }: AuthenticationRequest): Principal | Refusal {
     if (!keyring) return ANONYMOUS;
     if (typeof credentials === 'string') {
       if (isPublic || (credentials === 'none' && isCall)) return ANONYMOUS;
       const found = credentials === 'none' ? 'none' : 'something else';
       return refusalOf('keyMissing', `Expected one key, found ${found}.`);
     }
-    if (!this.options.areKeysProven()) return this.revocationsUnproven();
+    if (!this.options.areRevocationsCurrent()) return this.revocationsUnproven();
     const organisation = keyring.holderOf(credentials.keyDigest);
     return organisation ? { organisation } : refusalOf('keyUnknown', 'No organisation holds the key.');
   }
--- a/packages/calls/src/callHandler.ts
+++ b/packages/calls/src/callHandler.ts
@@ -6,27 +6,27 @@
 export type CallBody = Buffer | AsyncIterable<Uint8Array>;
 
 /** A response: its first part, and the parts that follow unless that is the final one. */
-export interface CallAnswer {
+export interface CallResponse {
   readonly first: AnswerPart;
   /** Undefined when the first part has an end or a refusal. Otherwise it has to be consumed to its end. */
   readonly rest: AsyncIterable<AnswerPart> | undefined;
 }
 
 /** Handles a request; the final part of the response has an end or a refusal. */
-export type CallHandler = (head: RequestHead, body: CallBody, signal: CancelSignal) => Promise<CallAnswer>;
+export type CallHandler = (head: RequestHead, body: CallBody, signal: CancelSignal) => Promise<CallResponse>;
 
 /** A response of a single part. */
-export function answerOf(part: AnswerPart): CallAnswer {
+export function singlePartResponse(part: AnswerPart): CallResponse {
   return { first: part, rest: undefined };
 }
 
 /** Whether no part follows this one. */
-export function isLast(part: AnswerPart): boolean {
+export function isFinalPart(part: AnswerPart): boolean {
   return part.end !== undefined || part.refusal !== undefined;
 }
 
 /** All parts of a pending response. */
-export async function* partsOf(response: Promise<CallAnswer>): AsyncGenerator<AnswerPart> {
+export async function* responseParts(response: Promise<CallResponse>): AsyncGenerator<AnswerPart> {
   const { first, rest } = await response;
   yield first;
   if (rest) yield* rest;
@@ -42,7 +42,7 @@
 }
 
 /** The route by the call's own context, so that two daemons need not have the same configuration version active. */
-export function routeOfHead({ service, context }: RequestHead): CallRoute | undefined {
+export function routeFromHead({ service, context }: RequestHead): CallRoute | undefined {
   if (!context) return undefined;
   return { name: context.route, service, idempotent: context.idempotent, calls: [] };
 }
--- a/packages/calls/src/lostContact.ts
+++ b/packages/calls/src/connectionLoss.ts
@@ -1,5 +1,5 @@
 /** The connection to a peer could not be made, or failed before the response was complete. */
-export class LostContact extends Error {
+export class ConnectionLoss extends Error {
   constructor(
     message: string,
     /** True when the peer certainly received nothing of the request. */
--- a/packages/calls/src/upstreamEnds.ts
+++ b/packages/calls/src/crashDetector.ts
@@ -15,28 +15,28 @@
 const MAX_REPORTED_REQUESTS = 64;
 
 /** The crash of an upstream, and the requests that were in flight there. */
-export interface UpstreamEnd {
+export interface UpstreamCrash {
   /** Identifies the process start that crashed. */
   readonly start: string;
   readonly requests: readonly SuspectRequest[];
 }
 
 /** Dependencies on the daemon. */
-export interface UpstreamEndsOptions {
+export interface CrashDetectorOptions {
   readonly clock: Clock;
   readonly running: RunningCalls;
   /** Called once per crash, before the checks that found it resolve. */
-  readonly onEnd: (crash: UpstreamEnd) => Promise<void>;
+  readonly onCrash: (crash: UpstreamCrash) => Promise<void>;
 }
 
 /** Checks upstreams whose connections fail. */
-export class UpstreamEnds {
-  private readonly pendingChecks = new Map<string, Promise<UpstreamEnd | undefined>>();
+export class CrashDetector {
+  private readonly pendingChecks = new Map<string, Promise<UpstreamCrash | undefined>>();
 
-  constructor(private readonly options: UpstreamEndsOptions) {}
+  constructor(private readonly options: CrashDetectorOptions) {}
 
   /** Checks an upstream of which a connection failed. Resolves with its crash, or with undefined if it has not crashed. */
-  brokeOff(upstream: Pick<LocalUpstream, 'start' | 'address'>): Promise<UpstreamEnd | undefined> {
+  checkForCrash(upstream: Pick<LocalUpstream, 'start' | 'address'>): Promise<UpstreamCrash | undefined> {
     const { start } = upstream;
     const pending = this.pendingChecks.get(start);
     if (pending) return pending;
@@ -48,8 +48,8 @@
   private async checkAddress({
     start,
     address,
-  }: Pick<LocalUpstream, 'start' | 'address'>): Promise<UpstreamEnd | undefined> {
-    const { clock, running, onEnd } = this.options;
+  }: Pick<LocalUpstream, 'start' | 'address'>): Promise<UpstreamCrash | undefined> {
+    const { clock, running, onCrash: onEnd } = this.options;
     const inFlight = running.requestsAt(start).slice(-MAX_REPORTED_REQUESTS);
     if (!(await refusesConnections(clock, address))) return undefined;
     const crash = { start, requests: inFlight.flatMap(suspectsOf) };
@@ -60,12 +60,12 @@
 
 function suspectsOf({ head, body }: RunningRequest): SuspectRequest[] {
   const { method, path } = head;
-  const fingerprint = fingerprintAt(head, body);
+  const fingerprint = receivedFingerprint(head, body);
   return fingerprint === undefined ? [] : [{ method, path, fingerprint }];
 }
 
 /** The fingerprint of a request from another daemon; undefined for a streamed body if that daemon did not send the fingerprint. */
-export function fingerprintAt(
+export function receivedFingerprint(
   head: RunningRequest['head'],
   body: RunningRequest['body'],
 ): string | undefined {
--- a/packages/calls/src/nextTry.ts
+++ b/packages/calls/src/decideRetry.ts
@@ -1,16 +1,16 @@
 /** Decides whether a call whose last attempt failed is sent again, and what that costs. */
 import { resultByCode } from '@cleatquay/errors';
 import { type Refusal } from '@cleatquay/protocol';
-import { type Repeat } from './retryAllowance.js';
+import { type Retry } from './tokenBucketRetryBudget.js';
 
 /**
  * What follows a failed attempt: nothing; a reroute to another daemon, which costs nothing since no upstream has received the call; or a retry,
  * which costs a token of the call and, if an upstream has received the call, a retry of the budget.
  */
-export type NextTry = 'none' | 'reroute' | 'retry';
+export type RetryDecision = 'none' | 'reroute' | 'retry';
 
 /** The state of a call after a failed attempt. */
-export interface FailedTry {
+export interface RetryContext {
   readonly refusal: Refusal;
   readonly idempotent: boolean;
   /** Retry tokens that the call has left. */
@@ -20,10 +20,10 @@
 }
 
 /** Decides what follows a failed attempt. `takeRetry` is called last, and takes a retry from the budget if it has one. */
-export function nextTry(
-  { refusal, idempotent, tokens, reroutes }: FailedTry,
-  takeRetry: (previousOutcome: Repeat['previousOutcome']) => boolean,
-): NextTry {
+export function decideRetry(
+  { refusal, idempotent, tokens, reroutes }: RetryContext,
+  takeRetry: (previousOutcome: Retry['previousOutcome']) => boolean,
+): RetryDecision {
   if (!refusal.elsewhereHelps) return 'none';
   if (!hasReachedUpstream(refusal)) {
     if (reroutes > 0) return 'reroute';
--- a/packages/calls/src/journal.ts
+++ b/packages/calls/src/decisionTrace.ts
@@ -34,7 +34,7 @@
 const NO_FACTS: Facts = {};
 
 /** The latest decisions of one daemon. */
-export class Journal {
+export class DecisionTrace {
   private readonly byRequest = new Map<string, DecisionRecord[]>();
 
   constructor(
@@ -43,7 +43,7 @@
   ) {}
 
   /** Records a decision; evicts the oldest request when the trace is full. */
-  note(requestId: string, what: string, facts: Facts = NO_FACTS): void {
+  record(requestId: string, what: string, facts: Facts = NO_FACTS): void {
     let records = this.byRequest.get(requestId);
     if (!records) this.byRequest.set(requestId, (records = []));
     if (records.length < MAX_RECORDS_PER_REQUEST) records.push({ atMs: this.clock.now(), what, facts });
--- a/packages/calls/src/fleetRetryBudget.ts
+++ b/packages/calls/src/fleetRetryBudget.ts
@@ -4,7 +4,7 @@
  * have to be sent again; they are charged to the budget, too.
  */
 import { type Clock } from '@cleatquay/clock';
-import { type Repeat, type RetryBudget } from './retryAllowance.js';
+import { type Retry, type RetryBudget } from './tokenBucketRetryBudget.js';
 
 /**
  * Ratio of the budget that is spent on retries. The rest covers daemons that had to send more retries than their share,
@@ -60,17 +60,17 @@
     private readonly daemons: () => number,
   ) {}
 
-  requested(service: string, isRepeat: boolean): void {
+  countRequest(service: string, isRepeat: boolean): void {
     const bucket = this.currentBucket(service);
     if (isRepeat) bucket.otherRetries++;
     else bucket.requests++;
   }
 
-  succeeded(): void {
+  countSuccess(): void {
     // The budget depends on requests, whatever their outcome.
   }
 
-  take(service: string, { previousOutcome, callsBefore }: Repeat): boolean {
+  take(service: string, { previousOutcome, callsBefore }: Retry): boolean {
     const current = this.currentBucket(service);
     current.wantedRetries++;
     const { ratio, extra } = this.bounds;
--- a/packages/calls/src/forwarder.ts
+++ b/packages/calls/src/forwarder.ts
@@ -15,23 +15,23 @@
 import { type Candidate, type CallResult, type Router } from '@cleatquay/routing';
 import { BodyCheck, replay } from './answers.js';
 import {
-  type CallAnswer,
+  type CallResponse,
   type CallHandler,
   type CallRoute,
   type FailedAttempt,
-  answerOf,
-  isLast,
+  singlePartResponse,
+  isFinalPart,
 } from './callHandler.js';
 import { HeardNotices } from './heardNotices.js';
-import { quarantineRefusal } from './heldBack.js';
-import { type Journal } from './journal.js';
-import { LostContact } from './lostContact.js';
-import { nextTry, hasReachedUpstream } from './nextTry.js';
+import { quarantineRefusal } from './quarantineRefusal.js';
+import { type DecisionTrace } from './decisionTrace.js';
+import { ConnectionLoss } from './connectionLoss.js';
+import { decideRetry, hasReachedUpstream } from './decideRetry.js';
 import { type Peers } from './peers.js';
-import { FingerprintedRequest } from './namedRequest.js';
+import { FingerprintedRequest } from './fingerprintedRequest.js';
 import { type ReplayBody } from './replayBody.js';
-import { type RetryBudget } from './retryAllowance.js';
-import { GRACE_MS } from './upstreamSide.js';
+import { type RetryBudget } from './tokenBucketRetryBudget.js';
+import { NON_IDEMPOTENT_GRACE_MS } from './upstreamDispatcher.js';
 
 const SEAL_TIMEOUT_MS = 1000;
 const SEAL_RETRY_DELAY_MS = 100;
@@ -44,7 +44,7 @@
   readonly router: Router;
   readonly peers: Peers;
   readonly retries: RetryBudget;
-  readonly journal: Journal;
+  readonly journal: DecisionTrace;
   readonly quarantine: Quarantine;
   /** ip:port of this daemon; calls to its local upstream take no network hop. */
   readonly self: string;
@@ -53,9 +53,9 @@
    * Whether the signals passed to `forward` abort at the deadline of the call. An attempt then needs no timer of its own,
    * which saves a timer, a cancellation and two closures per attempt.
    */
-  readonly signalsEndInTime: boolean;
+  readonly signalsEnforceDeadline: boolean;
   /** How often a call that no upstream has received is rerouted after a refusal by a daemon, without spending a retry token. */
-  readonly freeMoves: number;
+  readonly freeReroutes: number;
 }
 
 interface Attempt {
@@ -84,13 +84,13 @@
     context: CallContext,
     body: ReplayBody,
     signal: CancelSignal,
-  ): Promise<CallAnswer> {
-    const { clock, router, retries, freeMoves, journal, quarantine } = this.options;
+  ): Promise<CallResponse> {
+    const { clock, router, retries, freeReroutes: freeMoves, journal, quarantine } = this.options;
     const startedAt = clock.now();
     if (quarantine.known) await quarantine.known;
     const fingerprinted = new FingerprintedRequest(head, body);
     if (!body.atHand) await body.prepare();
-    retries.requested(route.service, context.isRepeat);
+    retries.countRequest(route.service, context.isRepeat);
     const level = levelOf(context.class, context.rootId);
     const levelToSend = sendingLevel(level, context.depth);
     const tried = new Set<string>();
@@ -100,7 +100,7 @@
     let reroutesLeft = freeMoves;
     let isRepeat = context.isRepeat;
     const refuse = (refusal: Refusal) =>
-      answerOf(endOf(withOutcomeOfAll(refusal, mayHaveRun), tokens, lastAttempt?.load));
+      singlePartResponse(endOf(withOutcomeOfAll(refusal, mayHaveRun), tokens, lastAttempt?.load));
     for (let attemptNumber = context.try; ; attemptNumber++) {
       const held = this.refusalIfQuarantined(context.requestId, fingerprinted);
       if (held) return refuse(lastAttempt?.refusal ?? held);
@@ -120,7 +120,7 @@
         toHome: false,
         isRepeat,
       };
-      journal.note(context.requestId, 'Sent to an upstream.', {
+      journal.record(context.requestId, 'Sent to an upstream.', {
         try: attemptNumber,
         to: candidate.address,
         failureDomain: candidate.failureDomain,
@@ -146,7 +146,7 @@
       lastAttempt = result;
       tokens = retainedTokens + lastAttempt.unusedRetryTokens;
       mayHaveRun ||= lastAttempt.refusal.outcome !== 'not-run';
-      journal.note(context.requestId, 'The attempt was refused or failed.', {
+      journal.record(context.requestId, 'The attempt was refused or failed.', {
         result: resultByCode(lastAttempt.refusal.code),
         outcome: lastAttempt.refusal.outcome,
         why: lastAttempt.refusal.message,
@@ -157,7 +157,7 @@
       if (signal.aborted || !body.isReplayable) return refuse(lastAttempt.refusal);
       const { refusal } = lastAttempt;
       const retryContext = { refusal, idempotent: route.idempotent, tokens, reroutes: reroutesLeft };
-      const next = nextTry(retryContext, previousOutcome =>
+      const next = decideRetry(retryContext, previousOutcome =>
         retries.take(route.service, { previousOutcome, callsBefore: callsAtRisk(context) }),
       );
       if (next === 'none') return refuse(refusal);
@@ -173,12 +173,12 @@
     if (quarantine.isEmpty) return undefined;
     const { fingerprint } = fingerprinted;
     if (quarantine.standingOf(fingerprint) !== 'held') return undefined;
-    journal.note(requestId, 'Quarantined: upstreams crashed while they ran it.', { fingerprint });
+    journal.record(requestId, 'Quarantined: upstreams crashed while they ran it.', { fingerprint });
     return quarantineRefusal(quarantine.retryAfterMs(fingerprint));
   }
 
   /** Makes one attempt; resolves with its response, or with the reason why there is none. */
-  private async attempt(attempt: Attempt): Promise<CallAnswer | FailedAttempt> {
+  private async attempt(attempt: Attempt): Promise<CallResponse | FailedAttempt> {
     const { router, peers, self, local, retries } = this.options;
     const { candidate, head, body } = attempt;
     const ended = router.started(candidate.address);
@@ -195,15 +195,15 @@
           ? await local(head, bytes, timeLimit.signal)
           : await peers.exchange(candidate.address, head, bytes, timeLimit.signal);
       const result = this.verify(attempt, response, finish);
-      if ('first' in result) retries.succeeded();
+      if ('first' in result) retries.countSuccess();
       if ('refusal' in result) finish('refused');
       else if (!result.rest) finish('answered');
       return result;
     } catch (error) {
-      const isConnectionLost = error instanceof LostContact;
+      const isConnectionLost = error instanceof ConnectionLoss;
       finish(isConnectionLost && !timeLimit.signal.aborted ? 'unreachable' : 'failed');
       if (!isConnectionLost) throw error;
-      this.options.journal.note(
+      this.options.journal.record(
         attempt.context.requestId,
         'The connection to the daemon of the upstream was lost.',
         {
@@ -218,9 +218,9 @@
   /** A short response is verified before any of it is forwarded, so that the call can be retried if it is corrupt. */
   private verify(
     { candidate, route, retainedTokens }: Attempt,
-    { first, rest }: CallAnswer,
+    { first, rest }: CallResponse,
     finish: (result: CallResult) => void,
-  ): CallAnswer | FailedAttempt {
+  ): CallResponse | FailedAttempt {
     const { router } = this.options;
     const onLoad = ({ load }: AnswerPart) => {
       if (load) router.heard(candidate.address, route.name, load);
@@ -236,11 +236,14 @@
       return { first, rest: verifiedRest(rest, check, retainedTokens, onLoad, finish) };
     }
     if (!check.agrees(first.end)) return checksumMismatch();
-    return answerOf({ ...first, unusedRetryTokens: retainedTokens + unusedRetryTokens });
+    return singlePartResponse({ ...first, unusedRetryTokens: retainedTokens + unusedRetryTokens });
   }
 
   /** After a lost connection, an idempotent call may be retried elsewhere; any other attempt is sealed, or its response fetched. */
-  private async afterLostContact(attempt: Attempt, error: LostContact): Promise<CallAnswer | FailedAttempt> {
+  private async afterLostContact(
+    attempt: Attempt,
+    error: ConnectionLoss,
+  ): Promise<CallResponse | FailedAttempt> {
     const retryElsewhere = { elsewhereHelps: true };
     if (error.neverSent) {
       const refusal = refusalOf('unreachable', error.message, retryElsewhere);
@@ -254,7 +257,7 @@
     const seal = await this.seal(attempt, timeLimit.signal);
     if (seal?.state === 'ANSWERED' && seal.head) {
       const part = replay({ head: seal.head, body: seal.body });
-      return answerOf({ ...part, unusedRetryTokens: attempt.retainedTokens });
+      return singlePartResponse({ ...part, unusedRetryTokens: attempt.retainedTokens });
     }
     const refusal =
       seal?.state === 'SEALED'
@@ -277,7 +280,7 @@
         .seal(attempt.candidate.address, request, SEAL_TIMEOUT_MS)
         .catch(() => undefined);
       if (response)
-        journal.note(requestId, 'Queried the state of the lost attempt.', { state: response.state });
+        journal.record(requestId, 'Queried the state of the lost attempt.', { state: response.state });
       if (response && response.state !== 'RUNNING') return response;
       await clock.sleep(SEAL_RETRY_DELAY_MS, signal);
     }
@@ -286,12 +289,15 @@
 
   /** Cancels the attempt at its deadline; a non-idempotent one later by the grace period, so that its outcome can be determined. */
   private limitTime({ route, context, signal }: Attempt) {
-    if (this.options.signalsEndInTime) return { signal, [Symbol.dispose]: NOTHING_TO_DISPOSE };
+    if (this.options.signalsEnforceDeadline) return { signal, [Symbol.dispose]: NOTHING_TO_DISPOSE };
     const controller = new Cancellation();
     const abort = () => controller.abort(CALLER_LEFT);
     if (signal.aborted) abort();
     signal.addEventListener('abort', abort, { once: true });
-    const timer = this.options.clock.after(context.remainingMs + (route.idempotent ? 0 : GRACE_MS), abort);
+    const timer = this.options.clock.after(
+      context.remainingMs + (route.idempotent ? 0 : NON_IDEMPOTENT_GRACE_MS),
+      abort,
+    );
     return {
       signal: controller.signal,
       [Symbol.dispose]: () => {
@@ -328,7 +334,9 @@
       check.add(part.body);
       if (part.end && !check.agrees(part.end)) throw new Error('The response does not match its checksum.');
       if (part.end) result = 'answered';
-      yield isLast(part) ? { ...part, unusedRetryTokens: retainedTokens + part.unusedRetryTokens } : part;
+      yield isFinalPart(part)
+        ? { ...part, unusedRetryTokens: retainedTokens + part.unusedRetryTokens }
+        : part;
     }
   } finally {
     finish(result);
--- a/packages/calls/src/claims.ts
+++ b/packages/calls/src/idempotencyKeys.ts
@@ -7,14 +7,14 @@
 const BACKOFF_STEP_MS = 100;
 
 /** Bindings of keys to request ids, which never expire. */
-export class Claims {
+export class IdempotencyKeys {
   constructor(
     private readonly clock: Clock,
     private readonly table: Table | undefined,
   ) {}
 
   /** The request id that the key is bound to, for good; undefined when the platform does not respond. */
-  async claim(service: string, key: string, freshId: string): Promise<string | undefined> {
+  async bind(service: string, key: string, freshId: string): Promise<string | undefined> {
     if (!this.table) return undefined;
     const row = `claim-${createHash('sha256').update(`${service}\n${key}`).digest('base64url')}`;
     for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
--- a/packages/calls/src/entry.ts
+++ b/packages/calls/src/ingress.ts
@@ -12,19 +12,25 @@
 import { type Directory } from '@cleatquay/routing';
 import { type CallGraph, type Route } from '@cleatquay/settings';
 import { replay } from './answers.js';
-import { type CallAnswer, type CallBody, answerOf, isLast, partsOf } from './callHandler.js';
-import { type Claims } from './claims.js';
+import {
+  type CallResponse,
+  type CallBody,
+  singlePartResponse,
+  isFinalPart,
+  responseParts,
+} from './callHandler.js';
+import { type IdempotencyKeys } from './idempotencyKeys.js';
 import { type Forwarder } from './forwarder.js';
-import { type Home } from './home.js';
-import { type Journal } from './journal.js';
-import { LostContact } from './lostContact.js';
+import { type RequestDeduplicator } from './requestDeduplicator.js';
+import { type DecisionTrace } from './decisionTrace.js';
+import { ConnectionLoss } from './connectionLoss.js';
 import { type Peers } from './peers.js';
 import { type HeaderBlock } from './headers.js';
 import { type QuotaGate, type ForwardRequest } from './quotaGate.js';
 import { ReplayBody } from './replayBody.js';
 import { type RequestIds, parseRequestId } from './requestId.js';
 import { type RunningCall, type RunningCalls } from './runningCalls.js';
-import { type Principal, type Senders } from './senders.js';
+import { type Principal, type Authenticator } from './authenticator.js';
 
 const MAX_DEPTH = 16;
 const MAX_SEARCHED_DAEMONS = 32;
@@ -50,7 +56,7 @@
 }
 
 /** Dependencies on the daemon. */
-export interface EntryOptions {
+export interface IngressOptions {
   readonly clock: Clock;
   readonly self: string;
   readonly epoch: () => number;
@@ -59,12 +65,12 @@
   readonly forwarder: Forwarder;
   readonly peers: Peers;
   readonly directory: Directory;
-  readonly home: Home;
+  readonly deduplicator: RequestDeduplicator;
   readonly ids: RequestIds;
-  readonly claims: Claims;
+  readonly idempotencyKeys: IdempotencyKeys;
   readonly running: RunningCalls;
-  readonly journal: Journal;
-  readonly senders: Senders;
+  readonly journal: DecisionTrace;
+  readonly authenticator: Authenticator;
   readonly quotaGate: QuotaGate;
 }
 
@@ -78,14 +84,14 @@
 }
 
 /** Serves requests at the ingress daemon and at the home daemon of their ids. */
-export class Entry {
-  constructor(private readonly options: EntryOptions) {}
+export class Ingress {
+  constructor(private readonly options: IngressOptions) {}
 
   /** A new request id, or undefined while there is no capacity to store its result. */
   issueId(): string | undefined {
-    const { home, ids, graph } = this.options;
+    const { deduplicator: home, ids, graph } = this.options;
     const lifetimeMs = graph()?.file.requestIdLifetimeMs;
-    return lifetimeMs !== undefined && home.hasRoom ? ids.issue(lifetimeMs) : undefined;
+    return lifetimeMs !== undefined && home.hasCapacity ? ids.issue(lifetimeMs) : undefined;
   }
 
   /** Handles a request of a caller, or a call of the local upstream. */
@@ -111,11 +117,12 @@
   }
 
   /** Handles a resend that a peer forwarded to the home daemon of its id. */
-  async handleAsHome(head: RequestHead, source: CallBody, signal: CancelSignal): Promise<CallAnswer> {
+  async handleAsHome(head: RequestHead, source: CallBody, signal: CancelSignal): Promise<CallResponse> {
     const parts = this.resendParts(head, source, signal);
     const first = await parts.next();
-    if (first.done === true) return answerOf(endOf(refusalOf('contactLost', 'No response was received.'), 0));
-    return { first: first.value, rest: isLast(first.value) ? undefined : parts };
+    if (first.done === true)
+      return singlePartResponse(endOf(refusalOf('contactLost', 'No response was received.'), 0));
+    return { first: first.value, rest: isFinalPart(first.value) ? undefined : parts };
   }
 
   private async *resendParts(
@@ -148,9 +155,9 @@
     route: Route,
     parent: RunningCall | undefined,
   ): Principal | Refusal {
-    const { senders, graph } = this.options;
+    const { authenticator: senders, graph } = this.options;
     const isCall = parent !== undefined;
-    return senders.of({ credentials, keyring: graph()?.keyring, isPublic: route.public, isCall });
+    return senders.authenticate({ credentials, keyring: graph()?.keyring, isPublic: route.public, isCall });
   }
 
   /** Forwards the request within the quota of its organisation, if it has one. */
@@ -158,8 +165,10 @@
     organisation: Organisation | undefined,
     context: CallContext,
     forward: ForwardRequest,
-  ): Promise<CallAnswer> {
-    return organisation ? this.options.quotaGate.pass(organisation, context, forward) : forward(context);
+  ): Promise<CallResponse> {
+    return organisation
+      ? this.options.quotaGate.forwardWithinQuota(organisation, context, forward)
+      : forward(context);
   }
 
   private refusalFor(
@@ -198,7 +207,7 @@
     body: ReplayBody,
     signal: CancelSignal,
   ): AsyncGenerator<AnswerPart> {
-    const { clock, forwarder, home } = this.options;
+    const { clock, forwarder, deduplicator: home } = this.options;
     const remainingMs = Math.floor(parent.deadlineAt - clock.now());
     const context: CallContext = {
       ...parent.context,
@@ -214,7 +223,7 @@
     const start = (until: CancelSignal) =>
       this.withTokensOf(parent, context, c => forwarder.forward(route, headOf(request, c), c, body, until));
     if (route.idempotent) {
-      yield* partsOf(start(Cancellation.any([signal, parent.signal], CALLER_LEFT)));
+      yield* responseParts(start(Cancellation.any([signal, parent.signal], CALLER_LEFT)));
       return;
     }
     await body.prepare();
@@ -226,10 +235,10 @@
   private async withTokensOf(
     parent: RunningCall,
     context: CallContext,
-    call: (context: CallContext) => Promise<CallAnswer>,
-  ): Promise<CallAnswer> {
+    call: (context: CallContext) => Promise<CallResponse>,
+  ): Promise<CallResponse> {
     const reclaim = (part: AnswerPart) => {
-      if (isLast(part)) parent.returnTokens(part.unusedRetryTokens);
+      if (isFinalPart(part)) parent.returnTokens(part.unusedRetryTokens);
     };
     const { first, rest } = await call({ ...context, retryTokens: parent.takeTokens() });
     reclaim(first);
@@ -243,7 +252,7 @@
     body: ReplayBody,
     signal: CancelSignal,
   ): AsyncGenerator<AnswerPart> {
-    const { ids, home, forwarder } = this.options;
+    const { ids, deduplicator: home, forwarder } = this.options;
     const lifetimeMs = this.options.graph()?.file.requestIdLifetimeMs ?? 0;
     if (route.idempotent) {
       const id = request.requestId ?? ids.issue(lifetimeMs);
@@ -252,13 +261,13 @@
       const response = this.forwardWithinQuota(organisation, context, c =>
         forwarder.forward(route, headOf(request, c), c, body, signal),
       );
-      for await (const part of partsOf(response)) {
+      for await (const part of responseParts(response)) {
         yield part.refusal ? { ...part, refusal: this.withoutFalseNotRun(request, part.refusal) } : part;
       }
       return;
     }
     await body.prepare();
-    if (!home.hasRoom && request.requestId === undefined) {
+    if (!home.hasCapacity && request.requestId === undefined) {
       yield endOf(
         this.withoutFalseNotRun(request, refusalOf('memoryFull', 'Too many request results are stored.')),
         0,
@@ -280,7 +289,7 @@
 
   private async requestIdFor(request: CallerRequest, fresh: string): Promise<string | undefined> {
     if (request.idempotencyKey === undefined) return fresh;
-    return this.options.claims.claim(request.service, request.idempotencyKey, fresh);
+    return this.options.idempotencyKeys.bind(request.service, request.idempotencyKey, fresh);
   }
 
   private async *handleWithId(call: AuthorizedRequest): AsyncGenerator<AnswerPart> {
@@ -292,7 +301,7 @@
 
   /** Handles a request whose id this daemon issued: no other may start it. */
   private async *runAsHome(call: AuthorizedRequest): AsyncGenerator<AnswerPart> {
-    const { clock, home, epoch, forwarder } = this.options;
+    const { clock, deduplicator: home, epoch, forwarder } = this.options;
     const { requestId, remainingMs } = call.context;
     const id = parseRequestId(requestId);
     if (id?.epoch !== epoch()) {
@@ -303,7 +312,7 @@
       return;
     }
     const lifetimeMs = id.expiresAt - clock.now();
-    if (lifetimeMs <= 0 && !home.knows(requestId)) {
+    if (lifetimeMs <= 0 && !home.hasRecord(requestId)) {
       yield endOf(refusalOf('requestIdExpired', 'The id has expired.'), 0);
       return;
     }
@@ -322,10 +331,10 @@
     const context = { ...call.context, toHome: true };
     try {
       const head = { ...call.head, context };
-      yield* partsOf(this.options.peers.exchange(home, head, await call.body.read(), call.signal));
+      yield* responseParts(this.options.peers.exchange(home, head, await call.body.read(), call.signal));
     } catch (error) {
-      if (!(error instanceof LostContact)) throw error;
-      this.options.journal.note(context.requestId, `The home daemon ${home} is unreachable.`);
+      if (!(error instanceof ConnectionLoss)) throw error;
+      this.options.journal.record(context.requestId, `The home daemon ${home} is unreachable.`);
       yield* this.searchResponse(
         call,
         refusalOf('homeUnreachable', 'The daemon that issued the id is unreachable.'),
--- a/packages/calls/src/learnedCalls.ts
+++ b/packages/calls/src/learnedCalls.ts
@@ -15,7 +15,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** Records that a request of the route `parent` called a route. */
-  saw(parent: string, { name, service }: CalledRoute): void {
+  record(parent: string, { name, service }: CalledRoute): void {
     let calls = this.byParent.get(parent);
     if (!calls) this.byParent.set(parent, (calls = new Map()));
     const key = `${name} ${service}`;
@@ -25,7 +25,7 @@
   }
 
   /** The calls that a request of the route `parent` is expected to make. */
-  of(parent: string): readonly CalledRoute[] {
+  expectedFrom(parent: string): readonly CalledRoute[] {
     const calls = this.byParent.get(parent);
     if (!calls) return [];
     const oldest = this.clock.now() - CALL_LIFETIME_MS;
--- a/packages/calls/src/link.ts
+++ b/packages/calls/src/link.ts
@@ -11,12 +11,12 @@
 } from '@cleatquay/protocol';
 import { type Socket } from 'node:net';
 import { PART_BYTES } from './answers.js';
-import { type CallAnswer, type CallBody, answerOf, isLast } from './callHandler.js';
+import { type CallResponse, type CallBody, singlePartResponse, isFinalPart } from './callHandler.js';
 import { toSentAt } from './frameDelays.js';
 import { HeadEncoder, NO_HEAD } from './headTemplates.js';
 import { AsyncQueue, FrameWriter, SendWindow } from './linkParts.js';
 import { FrameStream } from './linkStream.js';
-import { LostContact } from './lostContact.js';
+import { ConnectionLoss } from './connectionLoss.js';
 
 /** How often a link with pending calls is checked. */
 export const LIVENESS_CHECK_INTERVAL_MS = 50;
@@ -35,7 +35,7 @@
   /** Receives the first part, which is the only one of most responses. */
   readonly onFirstPart: (part: AnswerPart) => void;
   /** Ends the call with an error, before or after its first part. */
-  readonly onFailure: (error: LostContact) => void;
+  readonly onFailure: (error: ConnectionLoss) => void;
   laterParts: AsyncQueue<AnswerPart> | undefined;
   /** Defined only for requests that are sent in several parts. */
   window: SendWindow | undefined;
@@ -44,7 +44,7 @@
 /** A configuration request that waits for the peer's response. */
 interface PendingConfiguration {
   readonly resolve: (response: ConfigurationAnswer) => void;
-  readonly reject: (error: LostContact) => void;
+  readonly reject: (error: ConnectionLoss) => void;
 }
 
 /** The client side of one link. It ends when the connection closes or the peer becomes unreachable. */
@@ -61,7 +61,7 @@
   private isPeerUnresponsive = false;
   private lastReceivedAt: number;
   private lastCheckedAt = 0;
-  private failure: LostContact | undefined;
+  private failure: ConnectionLoss | undefined;
 
   constructor(
     private readonly clock: Clock,
@@ -87,7 +87,7 @@
     const firstFrame = new Promise<void>(resolve => (this.onFirstFrame = resolve));
     this.ping(this.clock.now());
     await firstFrame;
-    if (this.failure) throw new LostContact(this.failure.message, true);
+    if (this.failure) throw new ConnectionLoss(this.failure.message, true);
   }
 
   /** Whether calls are pending, or the peer is unresponsive and has to be checked until it responds or is unreachable. */
@@ -106,22 +106,22 @@
   }
 
   /** Makes one call. Rejects with ConnectionLoss if the call ends before its last part. */
-  exchange(head: RequestHead, body: CallBody, signal: CancelSignal): Promise<CallAnswer> {
-    if (this.failure) return Promise.reject(new LostContact(this.failure.message, true));
-    if (signal.aborted) return Promise.reject(new LostContact('The call was cancelled.', true));
+  exchange(head: RequestHead, body: CallBody, signal: CancelSignal): Promise<CallResponse> {
+    if (this.failure) return Promise.reject(new ConnectionLoss(this.failure.message, true));
+    if (signal.aborted) return Promise.reject(new ConnectionLoss('The call was cancelled.', true));
     const number = ++this.lastCallNumber;
     if (!this.isInUse) this.resetSilenceTimer();
     return new Promise((resolve, reject) => {
-      const cancel = () => call.onFailure(new LostContact('The call was cancelled.', false));
+      const cancel = () => call.onFailure(new ConnectionLoss('The call was cancelled.', false));
       const finish = (isComplete: boolean) => {
         signal.removeEventListener('abort', cancel);
         this.endCall(number, call, isComplete);
       };
       const call: PendingCall = {
         onFirstPart: part => {
-          if (isLast(part)) {
+          if (isFinalPart(part)) {
             finish(true);
-            return resolve(answerOf(part));
+            return resolve(singlePartResponse(part));
           }
           const parts = (call.laterParts = new AsyncQueue<AnswerPart>());
           resolve({ first: part, rest: this.readLaterParts(number, parts, finish) });
@@ -145,7 +145,7 @@
 
   /** Fetches what this daemon's configuration lacks of the peer's. Rejects with ConnectionLoss if the link ends first. */
   fetchConfiguration(configurationRequest: ConfigurationRequest): Promise<ConfigurationAnswer> {
-    if (this.failure) return Promise.reject(new LostContact(this.failure.message, true));
+    if (this.failure) return Promise.reject(new ConnectionLoss(this.failure.message, true));
     const number = ++this.lastCallNumber;
     if (!this.isInUse) this.resetSilenceTimer();
     return new Promise((resolve, reject) => {
@@ -164,7 +164,7 @@
       while (!isComplete) {
         this.writer.send({ call: number, credit: 1 });
         const part = await parts.next();
-        isComplete = isLast(part);
+        isComplete = isFinalPart(part);
         yield part;
       }
     } finally {
@@ -181,7 +181,7 @@
   /** Ends the link and all of its calls. `reason` completes the error message, which begins with the peer's address. */
   fail(reason: string): void {
     if (this.failure) return;
-    this.failure = new LostContact(`${this.address} ${reason}.`, false);
+    this.failure = new ConnectionLoss(`${this.address} ${reason}.`, false);
     for (const call of [...this.calls.values()]) call.onFailure(this.failure);
     for (const { reject } of this.pendingConfigurations.values()) reject(this.failure);
     this.pendingConfigurations.clear();
--- a/packages/calls/src/linkServer.ts
+++ b/packages/calls/src/linkServer.ts
@@ -12,7 +12,7 @@
   refusalOf,
 } from '@cleatquay/protocol';
 import { type Socket } from 'node:net';
-import { type CallHandler, isLast } from './callHandler.js';
+import { type CallHandler, isFinalPart } from './callHandler.js';
 import { TransitDelays } from './frameDelays.js';
 import { HeadDecoder } from './headTemplates.js';
 import { AsyncQueue, FrameWriter, SendWindow } from './linkParts.js';
@@ -128,7 +128,7 @@
       const window = (call.window = new SendWindow());
       if (cancellation.signal.aborted) window.close();
       for await (const part of response.rest) {
-        if (!isLast(part)) await window.acquire();
+        if (!isFinalPart(part)) await window.acquire();
         send(part);
       }
     } catch (error) {
--- a/packages/calls/src/localUpstream.ts
+++ b/packages/calls/src/localUpstream.ts
@@ -17,11 +17,11 @@
   /** ip:port */
   readonly address: string;
   /** It refused a connection: it gets no requests until it announces itself again. */
-  readonly refusedConnection: () => void;
+  readonly onConnectionRefused: () => void;
   /** Another instance responds at its address, so that this one no longer exists. */
-  readonly anotherAnswers: () => void;
+  readonly onReplaced: () => void;
   /** Its latest notice for other daemons; usually undefined. */
   readonly notice: UpstreamNotice | undefined;
   /** Takes the notice in one of its responses. `sentAt` is when the request was sent to it, by the clock's `awake`, ms. */
-  readonly heard: (notice: AnswerNotice, sentAt: number) => void;
+  readonly onNotice: (notice: AnswerNotice, sentAt: number) => void;
 }
--- a/packages/calls/src/peers.ts
+++ b/packages/calls/src/peers.ts
@@ -11,9 +11,9 @@
 import { splitAddress } from '@cleatquay/settings';
 import { Metadata, type ServiceError, credentials, status } from '@grpc/grpc-js';
 import { connect } from 'node:net';
-import { type CallAnswer, type CallBody } from './callHandler.js';
+import { type CallResponse, type CallBody } from './callHandler.js';
 import { LIVENESS_CHECK_INTERVAL_MS, LinkClient } from './link.js';
-import { LostContact } from './lostContact.js';
+import { ConnectionLoss } from './connectionLoss.js';
 
 const GRPC_OPTIONS = {
   // Callers retry gRPC requests themselves where that is safe.
@@ -59,12 +59,12 @@
     head: RequestHead,
     body: CallBody,
     signal: CancelSignal,
-  ): Promise<CallAnswer> {
-    if (this.isCut(address)) throw new LostContact(`${address} is partitioned.`, true);
+  ): Promise<CallResponse> {
+    if (this.isCut(address)) throw new ConnectionLoss(`${address} is partitioned.`, true);
     const link = this.links.get(address) ?? (await this.connectOrReconnectLater(address));
     this.scheduleLivenessCheck();
     const response = await link.exchange(head, body, signal);
-    if (this.isCut(address)) throw new LostContact(`${address} was partitioned during the call.`, false);
+    if (this.isCut(address)) throw new ConnectionLoss(`${address} was partitioned during the call.`, false);
     return response;
   }
 
@@ -88,7 +88,7 @@
 
   /** Asks a peer to seal an attempt, which bars it from dispatch. */
   async seal(address: string, request: SealRequest, timeoutMs: number): Promise<SealAnswer> {
-    if (this.isCut(address)) throw new LostContact(`${address} is partitioned.`, true);
+    if (this.isCut(address)) throw new ConnectionLoss(`${address} is partitioned.`, true);
     return new Promise((resolve, reject) => {
       const deadline = Date.now() + timeoutMs;
       this.client(address).seal(request, new Metadata(), { deadline }, (error, response) => {
@@ -100,12 +100,12 @@
 
   /** Fetches from a peer what this daemon's configuration lacks. */
   async fetchConfiguration(address: string, request: ConfigurationRequest): Promise<ConfigurationAnswer> {
-    if (this.isCut(address)) throw new LostContact(`${address} is partitioned.`, true);
+    if (this.isCut(address)) throw new ConnectionLoss(`${address} is partitioned.`, true);
     const link = this.links.get(address) ?? (await this.connectOrReconnectLater(address));
     this.scheduleLivenessCheck();
     const cancellation = new Cancellation();
     const timeout = this.clock.sleep(CONFIGURATION_TIMEOUT_MS, cancellation.signal).then(() => {
-      throw new LostContact(`${address} did not send its configuration in time.`, false);
+      throw new ConnectionLoss(`${address} did not send its configuration in time.`, false);
     });
     timeout.catch(() => undefined);
     try {
@@ -226,8 +226,8 @@
 }
 
 function toConnectionLoss(error: unknown, address: string): unknown {
-  if (error instanceof LostContact || !(error instanceof Error) || !('code' in error)) return error;
+  if (error instanceof ConnectionLoss || !(error instanceof Error) || !('code' in error)) return error;
   const { code, details } = error as ServiceError;
   const neverSent = code === status.UNAVAILABLE && (details ?? '').startsWith(NO_CONNECTION);
-  return new LostContact(`${address}: ${details ?? error.message}`, neverSent);
+  return new ConnectionLoss(`${address}: ${details ?? error.message}`, neverSent);
 }
--- a/packages/calls/src/quotaGate.ts
+++ b/packages/calls/src/quotaGate.ts
@@ -10,9 +10,9 @@
   type Taken,
 } from '@cleatquay/organisations';
 import { type CallContext, type Refusal, endOf, refusalOf } from '@cleatquay/protocol';
-import { type CallAnswer, answerOf } from './callHandler.js';
-import { type Journal } from './journal.js';
-import { MIN_SERVER_ERROR_STATUS, recordOutcome } from './requestNotes.js';
+import { type CallResponse, singlePartResponse } from './callHandler.js';
+import { type DecisionTrace } from './decisionTrace.js';
+import { MIN_SERVER_ERROR_STATUS, recordOutcome } from './recordOutcome.js';
 
 /** No quota coordinator responded in time; if it is gone, another daemon takes its place within a second. */
 const QUOTA_UNREACHABLE_RETRY_AFTER_MS = 500;
@@ -20,7 +20,7 @@
 /** Dependencies on the daemon. */
 export interface QuotaGateOptions {
   readonly clock: Clock;
-  readonly journal: Journal;
+  readonly journal: DecisionTrace;
   readonly quotas: () => Pick<Quotas, 'take' | 'giveBack'>;
   readonly counts: OrganisationCounts;
   /** Age of the freshness proof of the active configuration, ms. */
@@ -28,14 +28,18 @@
 }
 
 /** Forwards a request with the given context. */
-export type ForwardRequest = (context: CallContext) => Promise<CallAnswer>;
+export type ForwardRequest = (context: CallContext) => Promise<CallResponse>;
 
 /** The quota enforcement of one daemon. */
 export class QuotaGate {
   constructor(private readonly options: QuotaGateOptions) {}
 
   /** Forwards a request of an organisation, or refuses it if the quota has no capacity. */
-  async pass(organisation: Organisation, context: CallContext, forward: ForwardRequest): Promise<CallAnswer> {
+  async forwardWithinQuota(
+    organisation: Organisation,
+    context: CallContext,
+    forward: ForwardRequest,
+  ): Promise<CallResponse> {
     const { name, quota } = organisation;
     const response = await (quota ? this.withinQuota(name, quota, context, forward) : forward(context));
     this.options.counts.ended(name, dispositionOf(response));
@@ -53,7 +57,7 @@
     quota: Quota,
     context: CallContext,
     forward: ForwardRequest,
-  ): Promise<CallAnswer> {
+  ): Promise<CallResponse> {
     const { clock, quotas } = this.options;
     const startedAt = clock.now();
     const taken = await quotas().take(organisation, quota);
@@ -69,11 +73,11 @@
     organisation: string,
     quota: Quota,
     taken: Exclude<Taken, { kind: 'taken' }>,
-  ): CallAnswer {
+  ): CallResponse {
     const { journal } = this.options;
     const facts = { ...this.factsOf(organisation), ...quota, ...taken };
-    journal.note(requestId, 'Refused: the quota of its organisation has no capacity.', facts);
-    const response = answerOf(endOf(refusalFor(organisation, taken), retryTokens));
+    journal.record(requestId, 'Refused: the quota of its organisation has no capacity.', facts);
+    const response = singlePartResponse(endOf(refusalFor(organisation, taken), retryTokens));
     recordOutcome(journal, requestId, response, 0);
     return response;
   }
@@ -89,7 +93,7 @@
   });
 }
 
-function dispositionOf({ first: { refusal, head } }: CallAnswer): RequestEnd {
+function dispositionOf({ first: { refusal, head } }: CallResponse): RequestEnd {
   if (refusal?.code === resultCodes.quotaExceeded.code) return 'over-quota';
   if (refusal) return refusal.outcome === 'not-run' ? 'refused' : 'failed';
   return (head?.status ?? 0) < MIN_SERVER_ERROR_STATUS ? 'answered' : 'failed';
--- a/packages/calls/src/requestNotes.ts
+++ b/packages/calls/src/recordOutcome.ts
@@ -1,17 +1,22 @@
 /** Records the outcome of a request in the decision trace of its ingress daemon. */
-import { type CallAnswer } from './callHandler.js';
-import { type Journal } from './journal.js';
+import { type CallResponse } from './callHandler.js';
+import { type DecisionTrace } from './decisionTrace.js';
 
 /** Responses with this status or a higher one are failures of the upstream, or of a service that it called. */
 export const MIN_SERVER_ERROR_STATUS = 500;
 
 /** Records how a request ended, and that it took `ms`. */
-export function recordOutcome(journal: Journal, requestId: string, { first }: CallAnswer, ms: number): void {
+export function recordOutcome(
+  journal: DecisionTrace,
+  requestId: string,
+  { first }: CallResponse,
+  ms: number,
+): void {
   const { refusal, head } = first;
   const tookMs = Math.round(ms);
   if (refusal) {
     const { code, outcome, message, retryAfterMs } = refusal;
-    journal.note(requestId, 'Refused or failed.', { code, outcome, why: message, retryAfterMs, tookMs });
-  } else journal.note(requestId, 'Answered.', { status: head?.status ?? 0, tookMs });
+    journal.record(requestId, 'Refused or failed.', { code, outcome, why: message, retryAfterMs, tookMs });
+  } else journal.record(requestId, 'Answered.', { status: head?.status ?? 0, tookMs });
   journal.requestEnded(requestId, refusal !== undefined || (head?.status ?? 0) >= MIN_SERVER_ERROR_STATUS);
 }
--- a/packages/calls/src/relay.ts
+++ b/packages/calls/src/relay.ts
@@ -8,16 +8,16 @@
 import { type CallContext, type Refusal, type RequestHead, endOf, refusalOf } from '@cleatquay/protocol';
 import { type Credentials, type Organisation } from '@cleatquay/organisations';
 import { type HostRoute, type HostRoutes } from '@cleatquay/routes';
-import { type CallAnswer, type CallBody, type CallRoute, answerOf } from './callHandler.js';
+import { type CallResponse, type CallBody, type CallRoute, singlePartResponse } from './callHandler.js';
 import { type Forwarder } from './forwarder.js';
 import { type HeaderBlock } from './headers.js';
-import { type Journal } from './journal.js';
+import { type DecisionTrace } from './decisionTrace.js';
 import { type LearnedCalls } from './learnedCalls.js';
 import { type QuotaGate } from './quotaGate.js';
 import { ReplayBody } from './replayBody.js';
-import { recordOutcome } from './requestNotes.js';
+import { recordOutcome } from './recordOutcome.js';
 import { type RunningCall, type RunningCalls } from './runningCalls.js';
-import { type Senders } from './senders.js';
+import { type Authenticator } from './authenticator.js';
 
 /** A request as received from the caller. */
 export interface RelayedRequest {
@@ -42,11 +42,11 @@
   readonly routes: () => HostRoutes | undefined;
   /** The version of the active configuration. */
   readonly configuration: { readonly generation: number; readonly digest: string };
-  readonly journal: Journal;
+  readonly journal: DecisionTrace;
   readonly forwarder: Pick<Forwarder, 'forward'>;
   /** Service of the local upstream. */
   readonly originService: string;
-  readonly senders: Senders;
+  readonly authenticator: Authenticator;
   readonly quotaGate: QuotaGate;
   /** Root requests at or above this admission level are refused at once, since the process lacks processor time. */
   readonly pressureLevel: () => number;
@@ -55,7 +55,7 @@
   readonly random: Random;
   /** Requests that the local upstream is running. */
   readonly running: RunningCalls;
-  readonly learned: LearnedCalls;
+  readonly learnedCalls: LearnedCalls;
 }
 
 /** Serves unmodified callers at the ingress daemon. */
@@ -63,17 +63,22 @@
   constructor(private readonly options: RelayOptions) {}
 
   /** Handles one request. Resolves with a response or a refusal within the timeout of the route. */
-  async handle(request: RelayedRequest, source: CallBody, signal: CancelSignal): Promise<CallAnswer> {
+  async handle(request: RelayedRequest, source: CallBody, signal: CancelSignal): Promise<CallResponse> {
     const routes = this.options.routes();
     const route = routes?.find(request.host, request.path);
     const service = route && routes?.serviceFor(route);
     if (!routes || !route || service === undefined) return this.refuseUnroutable(request, routes, route);
     const parent = request.parentId === undefined ? undefined : this.options.running.get(request.parentId);
-    if (parent) this.options.learned.saw(parent.route.name, { name: route.name, service });
+    if (parent) this.options.learnedCalls.record(parent.route.name, { name: route.name, service });
     const { credentials } = request;
     const { keyring } = routes;
     const { isPublic } = route;
-    const sender = this.options.senders.of({ credentials, keyring, isPublic, isCall: parent !== undefined });
+    const sender = this.options.authenticator.authenticate({
+      credentials,
+      keyring,
+      isPublic,
+      isCall: parent !== undefined,
+    });
     if ('code' in sender) return this.refuseUnauthenticated(request, sender);
     const { organisation } = sender;
     const rank = routes.rankOf(route, organisation);
@@ -83,39 +88,43 @@
     if (context.remainingMs > this.options.timeLeftMs()) return this.refuseForShutdown(context);
     const forward = (forwardedContext: CallContext) =>
       this.withinTimeout(request, forwardedContext, route, service, new ReplayBody(source), signal);
-    return organisation ? this.options.quotaGate.pass(organisation, context, forward) : forward(context);
+    return organisation
+      ? this.options.quotaGate.forwardWithinQuota(organisation, context, forward)
+      : forward(context);
   }
 
   /** The credentials are not recorded. */
-  private refuseUnauthenticated({ requestId, host, path }: RelayedRequest, refusal: Refusal): CallAnswer {
+  private refuseUnauthenticated({ requestId, host, path }: RelayedRequest, refusal: Refusal): CallResponse {
     const { journal } = this.options;
-    journal.note(requestId, 'Taken.', { host, path });
-    const response = answerOf(endOf(refusal, 0));
+    journal.record(requestId, 'Taken.', { host, path });
+    const response = singlePartResponse(endOf(refusal, 0));
     recordOutcome(journal, requestId, response, 0);
     return response;
   }
 
-  private refuseForPressure({ requestId, class: rank }: CallContext): CallAnswer {
+  private refuseForPressure({ requestId, class: rank }: CallContext): CallResponse {
     const { journal, random } = this.options;
-    journal.note(requestId, 'Refused at once: the daemon lacks processor time.', { class: rank });
+    journal.record(requestId, 'Refused at once: the daemon lacks processor time.', { class: rank });
     const refusal = refusalOf('overloaded', 'The daemon lacks processor time.', {
       retryAfterMs: Math.round(PRESSURE_RETRY_AFTER_MS * (0.5 + random())),
     });
-    return answerOf(endOf(refusal, 0));
+    return singlePartResponse(endOf(refusal, 0));
   }
 
   /**
    * A daemon that shuts down would interrupt requests that it accepts now and can't finish in time. Some callers arrive until the last
    * moment, since the platform routes them here while most daemons of a failure domain are shutting down.
    */
-  private refuseForShutdown({ requestId, remainingMs }: CallContext): CallAnswer {
+  private refuseForShutdown({ requestId, remainingMs }: CallContext): CallResponse {
     const timeLeftMs = Math.round(this.options.timeLeftMs());
-    this.options.journal.note(
+    this.options.journal.record(
       requestId,
       'Refused: the daemon shuts down before the request could time out.',
       { remainingMs, timeLeftMs },
     );
-    return answerOf(endOf(refusalOf('draining', 'The daemon is shutting down.', RETRY_AT_ANOTHER_DAEMON), 0));
+    return singlePartResponse(
+      endOf(refusalOf('draining', 'The daemon is shutting down.', RETRY_AT_ANOTHER_DAEMON), 0),
+    );
   }
 
   /** Recorded with the active configuration version, since the caller can't tell a route that this daemon lacks from one that does not exist. */
@@ -123,11 +132,11 @@
     { requestId, host, path }: RelayedRequest,
     routes: HostRoutes | undefined,
     route: HostRoute | undefined,
-  ): CallAnswer {
+  ): CallResponse {
     const { journal, configuration } = this.options;
     const { generation, digest } = configuration;
-    journal.note(requestId, 'Taken.', { host, path, generation, digest });
-    const response = answerOf(endOf(this.unroutable(routes, route), 0));
+    journal.record(requestId, 'Taken.', { host, path, generation, digest });
+    const response = singlePartResponse(endOf(this.unroutable(routes, route), 0));
     recordOutcome(journal, requestId, response, 0);
     return response;
   }
@@ -149,10 +158,10 @@
     service: string,
     body: ReplayBody,
     signal: CancelSignal,
-  ): Promise<CallAnswer> {
+  ): Promise<CallResponse> {
     const { clock, forwarder, journal, quotaGate } = this.options;
     const startedAt = clock.now();
-    journal.note(context.requestId, 'Taken.', {
+    journal.record(context.requestId, 'Taken.', {
       route: route.name,
       service,
       generation: context.generation,
@@ -179,12 +188,14 @@
     return new Promise(resolve => {
       const timer = clock.after(context.remainingMs, () => {
         settle(
-          answerOf(endOf(refusalOf('requestTimedOut', 'No response was received within the timeout.'), 0)),
+          singlePartResponse(
+            endOf(refusalOf('requestTimedOut', 'No response was received within the timeout.'), 0),
+          ),
         );
         cancel();
       });
       let isSettled = false;
-      const settle = (response: CallAnswer) => {
+      const settle = (response: CallResponse) => {
         if (isSettled) return;
         isSettled = true;
         timer[Symbol.dispose]();
@@ -194,7 +205,9 @@
       forwarder
         .forward(callRoute, head, context, body, cancellation.signal)
         .then(settle, (error: unknown) => {
-          settle(answerOf(endOf(refusalOf('contactLost', `The request failed: ${String(error)}.`), 0)));
+          settle(
+            singlePartResponse(endOf(refusalOf('contactLost', `The request failed: ${String(error)}.`), 0)),
+          );
         });
     });
   }
@@ -221,7 +234,7 @@
       idempotent: route.idempotent,
       originService: this.options.originService,
       isRepeat: parent?.context.isRepeat ?? false,
-      callsBefore: parent?.nextCall() ?? 0,
+      callsBefore: parent?.countCall() ?? 0,
       organisation: organisation?.name ?? '',
     };
   }
--- a/packages/calls/src/home.ts
+++ b/packages/calls/src/requestDeduplicator.ts
@@ -5,7 +5,7 @@
 import { type CancelSignal, Cancellation, type Clock, NOT_NEEDED } from '@cleatquay/clock';
 import { type Outcome, invariant } from '@cleatquay/errors';
 import { type AnswerPart, type Refusal, endOf, refusalOf } from '@cleatquay/protocol';
-import { type CallAnswer, partsOf } from './callHandler.js';
+import { type CallResponse, responseParts } from './callHandler.js';
 import { AnswerRecorder, type RecordedAnswer, replay } from './answers.js';
 
 const MAX_RECORDS = 100_000;
@@ -21,7 +21,7 @@
 }
 
 /** Requests whose ids this daemon issued, by id. */
-export class Home {
+export class RequestDeduplicator {
   private readonly records = new Map<string, RequestRecord>();
   private responseBytes = 0;
   private running = 0;
@@ -39,12 +39,12 @@
   }
 
   /** Whether there is capacity to keep the result of one more id. */
-  get hasRoom(): boolean {
+  get hasCapacity(): boolean {
     return this.records.size < MAX_RECORDS && this.responseBytes < MAX_RESPONSE_BYTES;
   }
 
   /** Whether the id has a record. */
-  knows(id: string): boolean {
+  hasRecord(id: string): boolean {
     return this.records.has(id);
   }
 
@@ -57,7 +57,7 @@
     lifetimeMs: number,
     waitMs: number,
     signal: CancelSignal,
-    start: () => Promise<CallAnswer>,
+    start: () => Promise<CallResponse>,
   ): AsyncGenerator<AnswerPart> {
     const record = this.records.get(id) ?? this.startRequest(id, lifetimeMs, start);
     const result = record.result ?? (await this.wait(record, waitMs, signal));
@@ -81,8 +81,8 @@
     return result;
   }
 
-  private startRequest(id: string, lifetimeMs: number, start: () => Promise<CallAnswer>): RequestRecord {
-    const whenEnded = this.hasRoom ? this.run(start) : Promise.resolve(memoryFull());
+  private startRequest(id: string, lifetimeMs: number, start: () => Promise<CallResponse>): RequestRecord {
+    const whenEnded = this.hasCapacity ? this.run(start) : Promise.resolve(memoryFull());
     const record: RequestRecord = { result: undefined, whenEnded };
     void whenEnded.then(result => {
       invariant(record.result === undefined, 'RequestDeduplicator: a request completed twice.');
@@ -99,11 +99,11 @@
     if (result.kind === 'answered') this.responseBytes -= result.response.body.length;
   }
 
-  private async run(start: () => Promise<CallAnswer>): Promise<RequestResult> {
+  private async run(start: () => Promise<CallResponse>): Promise<RequestResult> {
     const recorder = new AnswerRecorder();
     this.running++;
     try {
-      for await (const part of partsOf(start())) {
+      for await (const part of responseParts(start())) {
         if (part.refusal) return { kind: 'refused', refusal: part.refusal };
         const response = recorder.add(part);
         if (response) return { kind: 'answered', response };
--- a/packages/calls/src/runningCalls.ts
+++ b/packages/calls/src/runningCalls.ts
@@ -47,12 +47,12 @@
   }
 
   /** Whether it has made calls, as far as this daemon has observed. */
-  get hasCalled(): boolean {
+  get hasMadeCalls(): boolean {
     return this.childCalls > 0;
   }
 
   /** Counts a call that it makes; returns how many calls this daemon knows to have been made for the root request before it. */
-  nextCall(): number {
+  countCall(): number {
     return this.context.callsBefore + this.childCalls++;
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** Registers the call until the returned object is disposed. */
-  enter(call: RunningCall): Disposable {
+  register(call: RunningCall): Disposable {
     const { requestId } = call.context;
     this.calls.set(requestId, call);
     return {
--- a/packages/calls/src/retryAllowance.ts
+++ b/packages/calls/src/tokenBucketRetryBudget.ts
@@ -4,7 +4,7 @@
 const MAX_TOKENS = 20;
 
 /** A retry that the budget is asked for. */
-export interface Repeat {
+export interface Retry {
   /** Whether the previous attempt certainly did not run, or may have run. */
   readonly previousOutcome: 'not-run' | 'may-have-run';
   /** Calls made earlier for the same request, whose work is lost if this call fails. */
@@ -14,22 +14,22 @@
 /** Decides which calls may be retried after an attempt that reached an upstream. */
 export interface RetryBudget {
   /** Counts a request for the service; `isRepeat` if an earlier attempt of it, or of a request that it is a call for, reached an upstream. */
-  readonly requested: (service: string, isRepeat: boolean) => void;
+  readonly countRequest: (service: string, isRepeat: boolean) => void;
   /** Counts a call that was answered. */
-  readonly succeeded: () => void;
+  readonly countSuccess: () => void;
   /** Takes one retry at the service; false if the budget has none. */
-  readonly take: (service: string, repeat: Repeat) => boolean;
+  readonly take: (service: string, repeat: Retry) => boolean;
 }
 
 /** A token bucket that successes refill and retries drain. */
-export class RetryAllowance implements RetryBudget {
+export class TokenBucketRetryBudget implements RetryBudget {
   private tokens = MAX_TOKENS;
 
-  requested(): void {
+  countRequest(): void {
     // Only successes refill the bucket.
   }
 
-  succeeded(): void {
+  countSuccess(): void {
     this.tokens = Math.min(MAX_TOKENS, this.tokens + TOKENS_PER_SUCCESS);
   }
 
--- a/packages/calls/src/upstreamSide.ts
+++ b/packages/calls/src/upstreamDispatcher.ts
@@ -25,19 +25,19 @@
 } from '@cleatquay/protocol';
 import { Isolation, type Quarantine, type Standing } from '@cleatquay/quarantine';
 import { toAnswer } from './answers.js';
-import { type CallAnswer, type CallBody, type CallRoute, answerOf } from './callHandler.js';
+import { type CallResponse, type CallBody, type CallRoute, singlePartResponse } from './callHandler.js';
 import { headerList, passedHeaders } from './headers.js';
-import { quarantineRefusal } from './heldBack.js';
-import { type Journal } from './journal.js';
+import { quarantineRefusal } from './quarantineRefusal.js';
+import { type DecisionTrace } from './decisionTrace.js';
 import { type LocalUpstream } from './localUpstream.js';
 import { RunningCall, type RunningCalls } from './runningCalls.js';
-import { type TryMemory } from './tryMemory.js';
+import { type AttemptRegistry } from './attemptRegistry.js';
 import { MisplacedAnswer, type UpstreamAnswer } from './upstreamConnections.js';
-import { type UpstreamEnd, type UpstreamEnds, fingerprintAt } from './upstreamEnds.js';
+import { type UpstreamCrash, type CrashDetector, receivedFingerprint } from './crashDetector.js';
 import { type UpstreamDialect } from './upstreamDialect.js';
 
 /** How long a non-idempotent request may continue after its deadline, so that its outcome can be determined. */
-export const GRACE_MS = 10_000;
+export const NON_IDEMPOTENT_GRACE_MS = 10_000;
 
 const OVERLOAD_STATUSES = [429, 503];
 const CONNECT_ERRORS = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'];
@@ -64,7 +64,7 @@
 }
 
 /** Dependencies on the daemon. */
-export interface UpstreamSideOptions {
+export interface UpstreamDispatcherOptions {
   readonly clock: Clock;
   readonly epoch: () => number;
   /** The route of a call; undefined if it is not declared. */
@@ -73,32 +73,32 @@
   /** The local upstream of a service. */
   readonly upstream: (service: string) => LocalUpstream | undefined;
   /** Takes a notice that the local upstream of a service gave to an earlier process of this daemon, and that a sender has stored. */
-  readonly told: (service: string, notice: UpstreamNotice) => void;
+  readonly onNotice: (service: string, notice: UpstreamNotice) => void;
   /** The admission level at and above which calls of a route are refused by downstream services. */
-  readonly levelBelow: (route: CallRoute) => number;
-  readonly tries: TryMemory;
+  readonly downstreamLevel: (route: CallRoute) => number;
+  readonly attempts: AttemptRegistry;
   readonly running: RunningCalls;
-  readonly ends: UpstreamEnds;
+  readonly ends: CrashDetector;
   readonly quarantine: Quarantine;
-  readonly journal: Journal;
+  readonly journal: DecisionTrace;
 }
 
 /** Serves calls for the local upstreams. */
-export class UpstreamSide {
+export class UpstreamDispatcher {
   private readonly isolation = new Isolation();
 
-  constructor(private readonly options: UpstreamSideOptions) {}
+  constructor(private readonly options: UpstreamDispatcherOptions) {}
 
   /** Handles one call; see CallHandler. */
-  async handle(head: RequestHead, body: CallBody, signal: CancelSignal): Promise<CallAnswer> {
+  async handle(head: RequestHead, body: CallBody, signal: CancelSignal): Promise<CallResponse> {
     const context = head.context;
     const route = this.options.routeOf(head);
-    if (head.notice) this.options.told(head.service, head.notice);
+    if (head.notice) this.options.onNotice(head.service, head.notice);
     const upstream = this.options.upstream(head.service);
     const earlyRefusal = this.refuseEarly(context, route, upstream);
     if (earlyRefusal || !context || !route || !upstream) {
       const refusal = earlyRefusal ?? refusalOf('innerMessageInvalid', 'The call has no context.');
-      return withNotice(answerOf(endOf(refusal, context?.retryTokens ?? 0)), upstream);
+      return withNotice(singlePartResponse(endOf(refusal, context?.retryTokens ?? 0)), upstream);
     }
     const { quarantine, clock } = this.options;
     for (const start of head.endedStarts) quarantine.endedUnder(head, start);
@@ -111,7 +111,7 @@
   /** The fingerprint of a call is computed only while there are suspects. */
   private standingOf({ head, body }: Pick<IncomingCall, 'head' | 'body'>): Standing {
     const { quarantine } = this.options;
-    const fingerprint = quarantine.isEmpty ? undefined : fingerprintAt(head, body);
+    const fingerprint = quarantine.isEmpty ? undefined : receivedFingerprint(head, body);
     return fingerprint === undefined ? 'free' : quarantine.standingOf(fingerprint);
   }
 
@@ -119,33 +119,35 @@
    * Waits until a suspect may run with few other suspects, or none, at its upstream, and then serves it. Refuses it if it has been quarantined by
    * then, which its sender may not know yet.
    */
-  private async serveIsolated(call: IncomingCall, signal: CancelSignal): Promise<CallAnswer> {
+  private async serveIsolated(call: IncomingCall, signal: CancelSignal): Promise<CallResponse> {
     const { head, context, route, upstream } = call;
     const room = this.standingOf(call) === 'strong-suspect' ? 'all-places' : 'a-place';
     using place = await this.isolation.enter(upstream.start, room, signal);
     void place;
     if (this.standingOf(call) === 'held') return this.refuseQuarantined(call);
     const lateRefusal = this.refuseEarly(context, route, this.options.upstream(head.service));
-    return lateRefusal ? answerOf(endOf(lateRefusal, context.retryTokens)) : await this.serve(call, signal);
+    return lateRefusal
+      ? singlePartResponse(endOf(lateRefusal, context.retryTokens))
+      : await this.serve(call, signal);
   }
 
-  private refuseQuarantined({ head, body, context: { requestId, retryTokens } }: IncomingCall): CallAnswer {
+  private refuseQuarantined({ head, body, context: { requestId, retryTokens } }: IncomingCall): CallResponse {
     const { journal, quarantine } = this.options;
-    journal.note(
+    journal.record(
       requestId,
       'Quarantined at the daemon of the upstream: other upstreams crashed while they ran it.',
     );
     journal.requestEnded(requestId, true);
-    const retryAfterMs = quarantine.retryAfterMs(fingerprintAt(head, body) ?? '');
-    return answerOf(endOf(quarantineRefusal(retryAfterMs), retryTokens));
+    const retryAfterMs = quarantine.retryAfterMs(receivedFingerprint(head, body) ?? '');
+    return singlePartResponse(endOf(quarantineRefusal(retryAfterMs), retryTokens));
   }
 
-  private async serve(call: IncomingCall, signal: CancelSignal): Promise<CallAnswer> {
+  private async serve(call: IncomingCall, signal: CancelSignal): Promise<CallResponse> {
     const { head, context, route, upstream, body, arrivedAt } = call;
     const { clock } = this.options;
     const permit = await this.admit(context, route, upstream, signal);
     if (!('release' in permit))
-      return answerOf(endOf(permit, context.retryTokens, this.load(upstream, route, context)));
+      return singlePartResponse(endOf(permit, context.retryTokens, this.load(upstream, route, context)));
     const remainingMs = Math.max(1, Math.floor(context.remainingMs - (clock.now() - arrivedAt)));
     const currentContext = { ...context, remainingMs };
     return this.run({ head, context: currentContext, route, upstream, permit, body }, signal);
@@ -156,7 +158,7 @@
     if (request.targetEpoch !== ANY_EPOCH && request.targetEpoch !== this.options.epoch()) {
       return { state: 'OTHER_EPOCH', head: undefined, body: Buffer.alloc(0) };
     }
-    return this.options.tries.seal(request);
+    return this.options.attempts.seal(request);
   }
 
   private refuseEarly(
@@ -180,15 +182,15 @@
     upstream: LocalUpstream,
     signal: CancelSignal,
   ): Promise<Permit | Refusal> {
-    const { tries, journal } = this.options;
+    const { attempts: tries, journal } = this.options;
     const { requestId } = context;
-    const barredRefusal = route.idempotent ? undefined : tries.begin(requestId, context.try);
+    const barredRefusal = route.idempotent ? undefined : tries.register(requestId, context.try);
     if (barredRefusal) return barredRefusal;
     const ownLevel = levelOf(context.class, context.rootId);
     const level = context.depth > 0 ? ownLevel : upstream.costs.levelInQueue(route.name, ownLevel);
     const permit = await upstream.admission.request(level, context.remainingMs, signal);
     if ('release' in permit) {
-      if (route.idempotent || tries.dispatch(requestId)) return permit;
+      if (route.idempotent || tries.markDispatched(requestId)) return permit;
       permit.release('failed');
       return refusalOf('sealed', 'The sender sealed this attempt.');
     }
@@ -203,27 +205,27 @@
       admissionLevel,
       ...(perSecond !== undefined && { requestsPerSecond: perSecond }),
     };
-    journal.note(requestId, 'Not admitted.', { result: resultByCode(permit.code), ...facts });
+    journal.record(requestId, 'Not admitted.', { result: resultByCode(permit.code), ...facts });
     journal.requestEnded(requestId, true);
     return permit;
   }
 
-  private async run(admitted: AdmittedCall, signal: CancelSignal): Promise<CallAnswer> {
+  private async run(admitted: AdmittedCall, signal: CancelSignal): Promise<CallResponse> {
     const { clock, running, journal } = this.options;
     const { context, route, upstream, permit } = admitted;
     const startedAt = clock.now();
-    journal.note(context.requestId, 'Given to the upstream.', {
+    journal.record(context.requestId, 'Given to the upstream.', {
       instance: upstream.instanceId,
       remainingMs: context.remainingMs,
       inFlight: upstream.admission.load().inFlight,
     });
-    const timeLimitMs = context.remainingMs + (route.idempotent ? 0 : GRACE_MS);
+    const timeLimitMs = context.remainingMs + (route.idempotent ? 0 : NON_IDEMPOTENT_GRACE_MS);
     const cancellation = cancellationOf(clock, timeLimitMs, route.idempotent ? signal : NEVER);
     const { head, body } = admitted;
     const deadlineAt = clock.now() + context.remainingMs;
     const request = { head, body, start: upstream.start };
     const call = new RunningCall(context, route, deadlineAt, cancellation.signal, request);
-    const registration = running.enter(call);
+    const registration = running.register(call);
     const finish = () => {
       permit.release('failed');
       registration[Symbol.dispose]();
@@ -233,9 +235,9 @@
       const response = this.toResponse(admitted, call, await this.ask(admitted, cancellation.signal));
       const tookMs = clock.now() - startedAt;
       upstream.costs.ran(route.name, tookMs);
-      if (!call.hasCalled) upstream.admission.limit.ran(route.name, permit.share, tookMs);
+      if (!call.hasMadeCalls) upstream.admission.limit.ran(route.name, permit.share, tookMs);
       const waitedMs = Math.round(tookMs);
-      journal.note(context.requestId, 'The upstream responded.', { status: statusOf(response), waitedMs });
+      journal.record(context.requestId, 'The upstream responded.', { status: statusOf(response), waitedMs });
       journal.requestEnded(context.requestId, false);
       if (!response.rest) finish();
       return response.rest
@@ -244,8 +246,8 @@
     } catch (error) {
       const refusal = await this.refusalFor(error, cancellation.signal, admitted);
       finish();
-      if (!route.idempotent) this.options.tries.markEnded(context.requestId, undefined);
-      return answerOf(endOf(refusal, call.retryTokens, this.load(upstream, route, context)));
+      if (!route.idempotent) this.options.attempts.markEnded(context.requestId, undefined);
+      return singlePartResponse(endOf(refusal, call.retryTokens, this.load(upstream, route, context)));
     }
   }
 
@@ -267,7 +269,7 @@
         isOwnAnswer: (status, headers) => dialect.isOwnAnswer(status, headers, context),
         onOwnAnswer: (status, headers) => {
           if (dialect.meaningOf(status, headers) !== 'other-instance')
-            upstream.heard(dialect.noticeOf(headers), sentAt);
+            upstream.onNotice(dialect.noticeOf(headers), sentAt);
         },
       },
       signal,
@@ -278,23 +280,23 @@
     admitted: AdmittedCall,
     call: RunningCall,
     upstreamResponse: UpstreamAnswer,
-  ): CallAnswer {
-    const { tries, dialect } = this.options;
+  ): CallResponse {
+    const { attempts: tries, dialect } = this.options;
     const { context, route, upstream, permit } = admitted;
     const meaning = dialect.meaningOf(upstreamResponse.status, upstreamResponse.headers);
-    if (meaning === 'other-instance') upstream.anotherAnswers();
+    if (meaning === 'other-instance') upstream.onReplaced();
     if (meaning !== 'answer') {
       permit.release('shed');
-      if (!route.idempotent) tries.notDispatched(context.requestId);
+      if (!route.idempotent) tries.markNotDispatched(context.requestId);
       const shed = refusalOf('shedByUpstream', 'The upstream did not run the request.', SHED_DETAILS);
-      return answerOf(endOf(shed, call.retryTokens, this.load(upstream, route, context)));
+      return singlePartResponse(endOf(shed, call.retryTokens, this.load(upstream, route, context)));
     }
     if (upstreamResponse.isUnframed && route.idempotent && upstream.connections.framesAnswers) {
       permit.release('failed');
       const text =
         'The response is close-delimited, though the upstream otherwise sends lengths, so that it may be truncated.';
       const truncated = refusalOf('answerIncomplete', text, { elsewhereHelps: true });
-      return answerOf(endOf(truncated, call.retryTokens, this.load(upstream, route, context)));
+      return singlePartResponse(endOf(truncated, call.retryTokens, this.load(upstream, route, context)));
     }
     const responseHead = {
       unframed: upstreamResponse.isUnframed,
@@ -330,8 +332,8 @@
     } finally {
       finish();
       // A seal request then reports that the attempt ended and its response is lost, since it was too long to be stored.
-      if (!route.idempotent) this.options.tries.markEnded(context.requestId, undefined);
-      this.options.journal.note(context.requestId, 'A long response ended.', { isWhole });
+      if (!route.idempotent) this.options.attempts.markEnded(context.requestId, undefined);
+      this.options.journal.record(context.requestId, 'A long response ended.', { isWhole });
     }
   }
 
@@ -339,17 +341,19 @@
     const { context, route, upstream } = admitted;
     const { code, message } = error as { code?: string; message?: string };
     if (CONNECT_ERRORS.includes(code ?? '')) {
-      if (!route.idempotent) this.options.tries.notDispatched(context.requestId);
-      upstream.refusedConnection();
+      if (!route.idempotent) this.options.attempts.markNotDispatched(context.requestId);
+      upstream.onConnectionRefused();
       return refusalOf('unreachable', 'The upstream refused the connection.', { elsewhereHelps: true });
     }
     const isGivenUp = signal.aborted;
     if (!isGivenUp) upstream.connections.distrust();
     const result: ResultName = isGivenUp ? 'deadlinePassed' : 'upstreamBroke';
     const { journal } = this.options;
-    journal.note(context.requestId, 'The upstream sent no complete response.', { why: message ?? 'unknown' });
+    journal.record(context.requestId, 'The upstream sent no complete response.', {
+      why: message ?? 'unknown',
+    });
     const isMisplaced = error instanceof MisplacedAnswer;
-    const end = isGivenUp || isMisplaced ? undefined : await this.options.ends.brokeOff(upstream);
+    const end = isGivenUp || isMisplaced ? undefined : await this.options.ends.checkForCrash(upstream);
     if (end) this.recordCrash(context.requestId, end, admitted);
     journal.requestEnded(context.requestId, true);
     if (isGivenUp) return refusalOf(result, `The request was cancelled. ${(signal.reason as Error).message}`);
@@ -358,7 +362,7 @@
       return refusalOf(result, 'The upstream failed before its response was complete.', {
         elsewhereHelps: true,
       });
-    upstream.refusedConnection();
+    upstream.onConnectionRefused();
     // The sender may not have received yet that the request is quarantined.
     const elsewhereHelps = this.standingOf(admitted) !== 'held';
     return refusalOf('upstreamEnded', 'The upstream crashed.', { elsewhereHelps, endedStart: end.start });
@@ -366,12 +370,12 @@
 
   private recordCrash(
     requestId: string,
-    { start, requests }: UpstreamEnd,
+    { start, requests }: UpstreamCrash,
     { head, body }: AdmittedCall,
   ): void {
-    const fingerprint = fingerprintAt(head, body) ?? 'unknown';
+    const fingerprint = receivedFingerprint(head, body) ?? 'unknown';
     const facts = { start, running: requests.length, fingerprint };
-    this.options.journal.note(requestId, 'The upstream crashed while it ran the request.', facts);
+    this.options.journal.record(requestId, 'The upstream crashed while it ran the request.', facts);
   }
 
   /** The load that is reported to the sender. For root requests of expensive routes, the admission level is lower than that of the queue. */
@@ -379,7 +383,7 @@
     const load = upstream.admission.load();
     const { admissionLevel } = load;
     const levelHere = depth > 0 ? admissionLevel : upstream.costs.levelForFresh(route.name, admissionLevel);
-    return { ...load, admissionLevel: Math.min(levelHere, this.options.levelBelow(route)) };
+    return { ...load, admissionLevel: Math.min(levelHere, this.options.downstreamLevel(route)) };
   }
 }
 
@@ -403,7 +407,7 @@
   };
 }
 
-function withNotice(response: CallAnswer, upstream: LocalUpstream | undefined): CallAnswer {
+function withNotice(response: CallResponse, upstream: LocalUpstream | undefined): CallResponse {
   const notice = upstream?.notice;
   return notice ? { ...response, first: { ...response.first, notice } } : response;
 }
@@ -411,6 +415,6 @@
 /** A non-idempotent request that was started continues even if the caller disconnects. */
 const NEVER = NEVER_CANCELLED;
 
-function statusOf({ first }: CallAnswer): number {
+function statusOf({ first }: CallResponse): number {
   return first.head?.status ?? 0;
 }
--- a/packages/daemon/src/callerAnswer.ts
+++ b/packages/daemon/src/callerAnswer.ts
@@ -1,6 +1,6 @@
 /** Parses the HTTP requests of callers, and writes HTTP responses from the parts of a call response. */
 import {
-  type CallAnswer,
+  type CallResponse,
   type CallerRequest,
   headerNames,
   headerList,
@@ -80,7 +80,7 @@
 /** Writes a response; most have a single part. */
 export async function writeResponse(
   response: ServerResponse,
-  { first, rest }: CallAnswer,
+  { first, rest }: CallResponse,
   writer: ResponseWriter,
 ): Promise<Refusal | undefined> {
   const isComplete = writeResponsePart(response, first, writer);
--- a/packages/daemon/src/callerGateway.ts
+++ b/packages/daemon/src/callerGateway.ts
@@ -3,7 +3,7 @@
   type CallBody,
   type CallerRequest,
   EMPTY_BODY,
-  type Entry,
+  type Ingress,
   type WorkTurns,
   headerNames,
 } from '@cleatquay/calls';
@@ -27,7 +27,7 @@
 export interface CallerGatewayOptions {
   readonly ip: string;
   readonly port: number;
-  readonly ingress: Entry;
+  readonly ingress: Ingress;
   readonly metrics: Metrics;
   /** Whether requests have to carry an API key. */
   readonly needsKeys: () => boolean;
--- a/packages/daemon/src/core.ts
+++ b/packages/daemon/src/core.ts
@@ -1,22 +1,22 @@
 /** What every daemon has, whichever protocol its callers use: membership, the peer protocol and the local upstreams. */
 import {
   type AnswerNotice,
-  type CallAnswer,
+  type CallResponse,
   type CallBody,
   type CallHandler,
   type CallRoute,
   type Contact,
   Forwarder,
   InnerServer,
-  Journal,
+  DecisionTrace,
   Peers,
   type RetryBudget,
   RunningCalls,
-  TryMemory,
+  AttemptRegistry,
   type UpstreamDialect,
-  type UpstreamEnd,
-  UpstreamEnds,
-  UpstreamSide,
+  type UpstreamCrash,
+  CrashDetector,
+  UpstreamDispatcher,
   type WorkTurns,
 } from '@cleatquay/calls';
 import { type CancelSignal, type Clock, type Random } from '@cleatquay/clock';
@@ -105,16 +105,16 @@
 
 /** Creates and connects the components that all daemons share. */
 export class DaemonCore implements AsyncDisposable {
-  readonly decisionTrace: Journal;
+  readonly decisionTrace: DecisionTrace;
   readonly membership: Membership;
   readonly upstreams: Upstreams;
   readonly directory = new Directory();
-  readonly attempts: TryMemory;
+  readonly attempts: AttemptRegistry;
   readonly running = new RunningCalls();
   readonly quarantine: Quarantine;
   readonly peers: Peers;
   readonly router: Router;
-  readonly upstreamDispatcher: UpstreamSide;
+  readonly upstreamDispatcher: UpstreamDispatcher;
   readonly forwarder: Forwarder;
   private readonly downstreamLevels = new Map<string, { readonly at: number; readonly level: number }>();
   private readonly partitionChecks = new Map<
@@ -177,8 +177,8 @@
       log: (message, facts) => upstreamsLog.info(facts, `Upstreams: ${message}`),
     });
     const requests = new DecisionLog(clock, log.child({ part: 'requests' }));
-    this.decisionTrace = new Journal(clock, requests.write);
-    this.attempts = new TryMemory(clock, options.attemptRetentionMs);
+    this.decisionTrace = new DecisionTrace(clock, requests.write);
+    this.attempts = new AttemptRegistry(clock, options.attemptRetentionMs);
     this.peers = new Peers(clock, isPartitioned);
     this.router = new Router({
       clock,
@@ -188,17 +188,17 @@
       failureDomain: settings.failureDomain,
       contactOf: candidate => this.reachabilityOf(candidate),
     });
-    this.upstreamDispatcher = new UpstreamSide({
+    this.upstreamDispatcher = new UpstreamDispatcher({
       clock,
       epoch: () => this.membership.me.epoch,
       routeOf: options.routeOf,
       dialect: options.dialect,
       upstream: service => this.upstreams.get(service),
-      told: (service, notice) => this.upstreams.told(service, notice),
-      levelBelow: route => this.downstreamLevel(route),
-      tries: this.attempts,
+      onNotice: (service, notice) => this.upstreams.told(service, notice),
+      downstreamLevel: route => this.downstreamLevel(route),
+      attempts: this.attempts,
       running: this.running,
-      ends: new UpstreamEnds({ clock, running: this.running, onEnd: end => this.onCrash(end) }),
+      ends: new CrashDetector({ clock, running: this.running, onCrash: end => this.onCrash(end) }),
       quarantine: this.quarantine,
       journal: this.decisionTrace,
     });
@@ -208,8 +208,8 @@
       router: this.router,
       peers: this.peers,
       retries: options.retries,
-      freeMoves: options.freeReroutes,
-      signalsEndInTime: options.signalsEnforceDeadline,
+      freeReroutes: options.freeReroutes,
+      signalsEnforceDeadline: options.signalsEnforceDeadline,
       quarantine: this.quarantine,
       journal: this.decisionTrace,
       self,
@@ -243,7 +243,7 @@
     await this.upstreams[Symbol.asyncDispose]();
   }
 
-  private onCrash({ start, requests }: UpstreamEnd): Promise<void> {
+  private onCrash({ start, requests }: UpstreamCrash): Promise<void> {
     const logged = requests.slice(-MAX_LOGGED_REQUESTS);
     this.options.log.warn(
       { part: 'upstreams', start, running: requests.length, requests: logged },
@@ -252,7 +252,7 @@
     return this.quarantine.upstreamEnded(start, requests);
   }
 
-  private exchange(head: RequestHead, body: CallBody, signal: CancelSignal): Promise<CallAnswer> {
+  private exchange(head: RequestHead, body: CallBody, signal: CancelSignal): Promise<CallResponse> {
     const isToHome = head.context?.toHome === true;
     return isToHome
       ? this.options.handleAsHome(head, body, signal)
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,11 +1,11 @@
 /** The daemon for callers of the native interface: creates its components and disposes of them in order. */
 import {
   type CallRoute,
-  Claims,
-  Entry,
-  Home,
+  IdempotencyKeys,
+  Ingress,
+  RequestDeduplicator,
   RequestIds,
-  RetryAllowance,
+  TokenBucketRetryBudget,
   ownDialect,
   WorkTurns,
 } from '@cleatquay/calls';
@@ -67,14 +67,14 @@
   readonly configuration: Configuration<CallGraph>;
   private readonly faultHooks = new FaultHooks();
   private readonly configurationLog: Logger;
-  private readonly home: Home;
+  private readonly home: RequestDeduplicator;
   private readonly broker: ServiceBroker;
   private readonly scheduler: WorkTurns;
   private readonly inFlight = new Set<Promise<unknown>>();
   private readonly store: HttpStore | undefined;
   /** Set once the daemon listens for its peers. */
   private core!: DaemonCore;
-  private ingress!: Entry;
+  private ingress!: Ingress;
   private distribution!: ConfigurationSpread;
   private readonly organisations: OrganisationSide;
   private callerAddress = '';
@@ -92,7 +92,7 @@
       },
     );
     this.organisations = this.createOrganisationServices();
-    this.home = new Home(clock);
+    this.home = new RequestDeduplicator(clock);
     this.store = settings.platform === undefined ? undefined : new HttpStore(settings.platform);
     this.broker = createBroker();
     this.scheduler = new WorkTurns(clock, () => false);
@@ -171,7 +171,7 @@
       },
       healthPath: () => undefined,
       dialect: ownDialect,
-      retries: new RetryAllowance(),
+      retries: new TokenBucketRetryBudget(),
       freeReroutes: 0,
       signalsEnforceDeadline: false,
       routeOf: head => graph()?.find(head.service, head.method, head.path),
@@ -198,11 +198,11 @@
     return calls.flatMap(name => this.configuration.inForce?.get(name) ?? []);
   }
 
-  private createIngress(): Entry {
+  private createIngress(): Ingress {
     const { clock } = this.options;
     const { core, home } = this;
     const epoch = () => core.membership.me.epoch;
-    return new Entry({
+    return new Ingress({
       clock,
       self: core.self,
       epoch,
@@ -211,12 +211,12 @@
       forwarder: core.forwarder,
       peers: core.peers,
       directory: core.directory,
-      home,
+      deduplicator: home,
       ids: new RequestIds(clock, core.self, epoch),
-      claims: new Claims(clock, this.store),
+      idempotencyKeys: new IdempotencyKeys(clock, this.store),
       running: core.running,
       journal: core.decisionTrace,
-      senders: this.organisations.senders,
+      authenticator: this.organisations.senders,
       quotaGate: this.organisations.gate(core.decisionTrace),
     });
   }
--- a/packages/daemon/src/daemonReport.ts
+++ b/packages/daemon/src/daemonReport.ts
@@ -1,5 +1,10 @@
 /** What a daemon reports to operators: the dump, the status and the gauges. */
-import { type Home, type Peers, type RunningCalls, type TryMemory } from '@cleatquay/calls';
+import {
+  type RequestDeduplicator,
+  type Peers,
+  type RunningCalls,
+  type AttemptRegistry,
+} from '@cleatquay/calls';
 import { type Configuration, type ConfigurationSpread } from '@cleatquay/configuration';
 import { invariantViolations } from '@cleatquay/errors';
 import { type Membership } from '@cleatquay/membership';
@@ -18,8 +23,8 @@
   readonly membership: Membership;
   readonly upstreams: Upstreams;
   readonly router: Router;
-  readonly home: Home;
-  readonly attempts: TryMemory;
+  readonly home: RequestDeduplicator;
+  readonly attempts: AttemptRegistry;
   readonly running: RunningCalls;
   readonly peers: Peers;
   readonly quarantine: Quarantine;
--- a/packages/daemon/src/operatorGateway.ts
+++ b/packages/daemon/src/operatorGateway.ts
@@ -1,5 +1,5 @@
 /** The operator API: announcements, health, metrics, status, dump, drain, decision traces, quarantine, fault hooks. */
-import { type Journal } from '@cleatquay/calls';
+import { type DecisionTrace } from '@cleatquay/calls';
 import { Failure, asFailure } from '@cleatquay/errors';
 import { type Quarantine } from '@cleatquay/quarantine';
 import { type Errors, type ServiceSchema } from 'moleculer';
@@ -22,7 +22,7 @@
   readonly port: number;
   readonly upstreams: Upstreams;
   readonly metrics: Metrics;
-  readonly decisionTrace: Journal;
+  readonly decisionTrace: DecisionTrace;
   readonly quarantine: Quarantine;
   /** Undefined unless the settings allow fault hooks. */
   readonly faultHooks: FaultHooks | undefined;
--- a/packages/daemon/src/organisationSide.ts
+++ b/packages/daemon/src/organisationSide.ts
@@ -1,5 +1,5 @@
 /** Wires the parts that check the API keys and quotas of organisations in one daemon. */
-import { type Journal, QuotaGate, Senders } from '@cleatquay/calls';
+import { type DecisionTrace, QuotaGate, Authenticator } from '@cleatquay/calls';
 import { type Clock, type Random } from '@cleatquay/clock';
 import { Freshness, type ProvenConfiguration } from '@cleatquay/configuration';
 import { type Membership, type QuotaHandlers } from '@cleatquay/membership';
@@ -31,7 +31,7 @@
 export class OrganisationSide implements AsyncDisposable {
   readonly freshness: Freshness;
   readonly counts = new OrganisationCounts();
-  readonly senders: Senders;
+  readonly senders: Authenticator;
   /** Undefined if keys are accepted without a freshness proof. */
   proofs: ProofRenewer | undefined;
   /** Created once the daemon listens for its peers. */
@@ -40,7 +40,10 @@
   constructor(private readonly options: OrganisationSideOptions) {
     const { clock, random, configuration } = options;
     this.freshness = new Freshness(clock, configuration);
-    this.senders = new Senders({ random, areKeysProven: () => this.proofs?.hasValidProof ?? true });
+    this.senders = new Authenticator({
+      random,
+      areRevocationsCurrent: () => this.proofs?.hasValidProof ?? true,
+    });
   }
 
   /** Whether requests need keys. */
@@ -63,7 +66,7 @@
   }
 
   /** Creates the gate that applies quotas to requests. */
-  gate(journal: Journal): QuotaGate {
+  gate(journal: DecisionTrace): QuotaGate {
     return new QuotaGate({
       clock: this.options.clock,
       journal,
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -6,8 +6,8 @@
   Relay,
   type UpstreamDialect,
   WorkTurns,
-  answerOf,
-  routeOfHead,
+  singlePartResponse,
+  routeFromHead,
 } from '@cleatquay/calls';
 import { type Clock, type Random } from '@cleatquay/clock';
 import {
@@ -283,8 +283,8 @@
       retries: new FleetRetryBudget(clock, retries, () => this.membership.aliveCount() + 1),
       freeReroutes: 3,
       signalsEnforceDeadline: true,
-      routeOf: routeOfHead,
-      downstreamCallsOf: ({ name }) => this.learnedCalls.of(name),
+      routeOf: routeFromHead,
+      downstreamCallsOf: ({ name }) => this.learnedCalls.expectedFrom(name),
       attemptRetentionMs: () => ATTEMPT_RETENTION_MS,
       isPartitioned: () => false,
       scheduler: this.scheduler,
@@ -292,7 +292,7 @@
       localService: settings.service,
       handleAsHome: () => {
         const refusal = refusalOf('innerMessageInvalid', 'This daemon does not issue request ids.');
-        return Promise.resolve(answerOf(endOf(refusal, 0)));
+        return Promise.resolve(singlePartResponse(endOf(refusal, 0)));
       },
       answerConfiguration: request => this.configuration.answer(request),
       freshness: this.organisations.freshness,
@@ -311,8 +311,8 @@
       forwarder: this.core.forwarder,
       originService: settings.service,
       running: this.core.running,
-      learned: this.learnedCalls,
-      senders: this.organisations.senders,
+      learnedCalls: this.learnedCalls,
+      authenticator: this.organisations.senders,
       quotaGate: this.organisations.gate(this.core.decisionTrace),
       pressureLevel: () => this.pressure.level,
       timeLeftMs: () => this.drainDeadline - clock.now(),
--- a/packages/daemon/src/relayReport.ts
+++ b/packages/daemon/src/relayReport.ts
@@ -1,5 +1,5 @@
 /** What a daemon for unmodified callers reports to operators. */
-import { type RunningCalls, type TryMemory } from '@cleatquay/calls';
+import { type RunningCalls, type AttemptRegistry } from '@cleatquay/calls';
 import { type Configuration, type Freshness } from '@cleatquay/configuration';
 import { invariantViolations } from '@cleatquay/errors';
 import { type Membership } from '@cleatquay/membership';
@@ -15,7 +15,7 @@
   readonly upstreams: Upstreams;
   readonly router: Router;
   readonly running: RunningCalls;
-  readonly attempts: TryMemory;
+  readonly attempts: AttemptRegistry;
   readonly quarantine: Quarantine;
   readonly inFlight: number;
   readonly freshness: Freshness;
--- a/packages/daemon/src/upstreams.ts
+++ b/packages/daemon/src/upstreams.ts
@@ -271,9 +271,9 @@
         isRegistered: () => this.byService.get(service) === upstream,
         fetchNotice: () => this.options.askNotice(service, address),
       }),
-      refusedConnection: () => this.remove(upstream, 'It refused a connection'),
-      anotherAnswers: () => this.replace(upstream),
-      heard: (notice, askedAt) => this.handleNotice(upstream, notice, askedAt),
+      onConnectionRefused: () => this.remove(upstream, 'It refused a connection'),
+      onReplaced: () => this.replace(upstream),
+      onNotice: (notice, askedAt) => this.handleNotice(upstream, notice, askedAt),
       get notice() {
         return noticeOf(upstream);
       },
--- a/tests/tryMemory.spec.ts
+++ b/tests/attemptRegistry.spec.ts
@@ -1,4 +1,4 @@
-import { TryMemory } from '@cleatquay/calls';
+import { AttemptRegistry } from '@cleatquay/calls';
 import { ManualClock } from '@cleatquay/clock';
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -10,16 +10,16 @@
     const event = fc.constantFrom('begin', 'dispatch', 'refused', 'answered', 'lost', 'seal');
     await fc.assert(
       fc.asyncProperty(fc.array(event, { maxLength: 30 }), async events => {
-        const registry = new TryMemory(new ManualClock(), () => 1000);
+        const registry = new AttemptRegistry(new ManualClock(), () => 1000);
         let admitting = false;
         let dispatched = false;
         let sealed = false;
         for (const what of events) {
-          if (what === 'begin') admitting = registry.begin('id', 1) === undefined;
+          if (what === 'begin') admitting = registry.register('id', 1) === undefined;
           if (what === 'refused') registry.markRefused('id');
           if (what === 'answered') registry.markEnded('id', RESPONSE);
           if (what === 'lost') registry.markEnded('id', undefined);
-          if (what === 'dispatch' && admitting && registry.dispatch('id')) {
+          if (what === 'dispatch' && admitting && registry.markDispatched('id')) {
             expect(sealed, 'dispatched after a seal').to.equal(false);
             expect(dispatched, 'dispatched twice').to.equal(false);
             dispatched = true;
@@ -36,9 +36,9 @@
   });
 
   it('returns the response of an attempt that ended', async () => {
-    const registry = new TryMemory(new ManualClock(), () => 1000);
-    registry.begin('id', 1);
-    registry.dispatch('id');
+    const registry = new AttemptRegistry(new ManualClock(), () => 1000);
+    registry.register('id', 1);
+    registry.markDispatched('id');
     registry.markEnded('id', RESPONSE);
     const { state, body } = await registry.seal({ requestId: 'id', try: 1, targetEpoch: 0, waitMs: 0 });
     expect([state, body.toString()]).to.deep.equal(['ANSWERED', 'done']);
--- a/tests/chains.spec.ts
+++ b/tests/chains.spec.ts
@@ -1,5 +1,10 @@
 import { expect } from 'chai';
-import { type ChainLoad, type ChainResult, type ScarceService, playChains } from './fixtures/chainLoad.js';
+import {
+  type ChainLoad,
+  type ChainResult,
+  type ScarceService,
+  simulateChains,
+} from './fixtures/chainLoad.js';
 
 const RUN_MS = 8000;
 /** Ratios vary by 0.05 between single seeds, and by 0.01 between sets of two dozen. */
@@ -45,7 +50,7 @@
   const shed = service.shed ?? 0;
   let results = runs.get(shed);
   if (!results)
-    runs.set(shed, (results = Promise.all(SEEDS.map(seed => playChains(service, LOADS, RUN_MS, seed)))));
+    runs.set(shed, (results = Promise.all(SEEDS.map(seed => simulateChains(service, LOADS, RUN_MS, seed)))));
   return results;
 }
 
--- a/tests/upstreamEnds.spec.ts
+++ b/tests/crashDetector.spec.ts
@@ -2,7 +2,7 @@
  * Guards against a crashed upstream that is taken for one that truncated a response, so that the requests in flight there don't become suspects. With
  * event-loop lag, the timer of the check could fire in the event loop iteration in which the refused connection was still unread.
  */
-import { RunningCalls, type UpstreamEnd, UpstreamEnds } from '@cleatquay/calls';
+import { RunningCalls, type UpstreamCrash, CrashDetector } from '@cleatquay/calls';
 import { SystemClock } from '@cleatquay/clock';
 import { expect } from 'chai';
 import { type AddressInfo, type Server, createServer } from 'node:net';
@@ -13,13 +13,13 @@
 const LAG_MS = 250;
 
 describe('an upstream whose connection failed', () => {
-  let reported: UpstreamEnd[];
-  let detector: UpstreamEnds;
+  let reported: UpstreamCrash[];
+  let detector: CrashDetector;
 
   beforeEach(() => {
     reported = [];
-    const onEnd = (crash: UpstreamEnd) => Promise.resolve(void reported.push(crash));
-    detector = new UpstreamEnds({ clock: new SystemClock(), running: new RunningCalls(), onEnd });
+    const onEnd = (crash: UpstreamCrash) => Promise.resolve(void reported.push(crash));
+    detector = new CrashDetector({ clock: new SystemClock(), running: new RunningCalls(), onCrash: onEnd });
   });
 
   const freeAddress = async () => {
@@ -31,13 +31,13 @@
 
   it('has crashed if nothing listens at its address, which is reported once', async () => {
     const address = await freeAddress();
-    const checks = [1, 2, 3].map(() => detector.brokeOff({ start: START, address }));
+    const checks = [1, 2, 3].map(() => detector.checkForCrash({ start: START, address }));
     for (const crash of await Promise.all(checks)) expect(crash?.start).to.equal(START);
     expect(reported).to.have.length(1);
   });
 
   it('is found to have crashed despite event-loop lag', async () => {
-    const check = detector.brokeOff({ start: START, address: await freeAddress() });
+    const check = detector.checkForCrash({ start: START, address: await freeAddress() });
     const until = performance.now() + LAG_MS;
     while (performance.now() < until);
     expect((await check)?.start).to.equal(START);
@@ -47,7 +47,7 @@
     const server: Server = createServer().listen(0, '127.0.0.1');
     await new Promise(resolve => server.once('listening', resolve));
     const address = `127.0.0.1:${String((server.address() as AddressInfo).port)}`;
-    expect(await detector.brokeOff({ start: START, address })).to.equal(undefined);
+    expect(await detector.checkForCrash({ start: START, address })).to.equal(undefined);
     expect(reported).to.have.length(0);
     server.close();
   });
--- a/tests/nextTry.spec.ts
+++ b/tests/decideRetry.spec.ts
@@ -1,11 +1,11 @@
-import { type FailedTry, nextTry } from '@cleatquay/calls';
+import { type RetryContext, decideRetry } from '@cleatquay/calls';
 import { type ResultName, resultCodes } from '@cleatquay/errors';
 import { refusalOf } from '@cleatquay/protocol';
 import { expect } from 'chai';
 import fc from 'fast-check';
 
 describe('the decision on a retry', () => {
-  const retryContexts: fc.Arbitrary<FailedTry> = fc.record({
+  const retryContexts: fc.Arbitrary<RetryContext> = fc.record({
     refusal: fc
       .record({
         result: fc.constantFrom(...(Object.keys(resultCodes) as ResultName[])),
@@ -22,7 +22,7 @@
       fc.property(retryContexts, retryContext => {
         const mayHaveRun = retryContext.refusal.outcome !== 'not-run';
         if (mayHaveRun && !retryContext.idempotent)
-          expect(nextTry(retryContext, () => true)).to.equal('none');
+          expect(decideRetry(retryContext, () => true)).to.equal('none');
       }),
     );
   });
@@ -31,11 +31,11 @@
     fc.assert(
       fc.property(retryContexts, retryContext => {
         let budgetRequests = 0;
-        const next = nextTry(retryContext, () => ++budgetRequests > 0);
+        const next = decideRetry(retryContext, () => ++budgetRequests > 0);
         if (next === 'retry') expect(retryContext.tokens).to.be.above(0);
         if (next === 'reroute')
           expect([retryContext.refusal.outcome, budgetRequests]).to.deep.equal(['not-run', 0]);
-        if (budgetRequests > 0) expect(nextTry(retryContext, () => false)).to.equal('none');
+        if (budgetRequests > 0) expect(decideRetry(retryContext, () => false)).to.equal('none');
       }),
     );
   });
--- a/tests/departedCallers.spec.ts
+++ b/tests/departedCallers.spec.ts
@@ -16,7 +16,7 @@
  * the likelier cause.
  */
 import { ProcessorPressure } from '@cleatquay/admission';
-import { WorkTurns, answerOf } from '@cleatquay/calls';
+import { WorkTurns, singlePartResponse } from '@cleatquay/calls';
 import { SystemClock } from '@cleatquay/clock';
 import { RelayGateway } from '@cleatquay/daemon';
 import { callerDialect } from '@cleatquay/platform';
@@ -80,7 +80,7 @@
           handle: () => {
             forwardedAt.push(Date.now());
             blockEventLoop(CALL_COST_MS);
-            return Promise.resolve(answerOf(endOf(refusalOf('overloaded', ''), 0)));
+            return Promise.resolve(singlePartResponse(endOf(refusalOf('overloaded', ''), 0)));
           },
         },
         dialect: callerDialect,
--- a/tests/fleetRetryBudget.spec.ts
+++ b/tests/fleetRetryBudget.spec.ts
@@ -37,9 +37,9 @@
         } of steps) {
           clock.advance(pauseMs);
           const budget = budgets[daemon]!;
-          for (let i = 0; i < requests; i++) budget.requested('s', false);
+          for (let i = 0; i < requests; i++) budget.countRequest('s', false);
           let retries = Math.floor(requests / retryInterval);
-          for (let i = 0; i < retries; i++) budget.requested('s', true);
+          for (let i = 0; i < retries; i++) budget.countRequest('s', true);
           for (let i = 0; i < retryRequests; i++)
             if (budget.take('s', { previousOutcome, callsBefore })) retries++;
           events.push({ at: clock.now(), requests, retries });
@@ -65,7 +65,7 @@
 
   it('is granted in the order of requests while there are enough retries for all', () => {
     const budget = new FleetRetryBudget(new ManualClock(), { ...BOUNDS, extra: 0 }, () => 1);
-    for (let i = 0; i < 1000; i++) budget.requested('s', false);
+    for (let i = 0; i < 1000; i++) budget.countRequest('s', false);
     const taken = (callsBefore: number) => {
       let count = 0;
       for (let i = 0; i < 200; i++)
@@ -81,7 +81,7 @@
     const budget = new FleetRetryBudget(clock, { ...BOUNDS, extra: 0 }, () => 1);
     for (let second = 0; second < 10; second++) {
       clock.advance(1000);
-      for (let i = 0; i < 100; i++) budget.requested('s', false);
+      for (let i = 0; i < 100; i++) budget.countRequest('s', false);
     }
     const taken = [0, 0, 0, 0];
     for (let i = 0; i < 400; i++) {
@@ -94,8 +94,8 @@
 
   it('is charged for calls that retried requests make again', () => {
     const budget = new FleetRetryBudget(new ManualClock(), { ...BOUNDS, extra: 0 }, () => 1);
-    for (let i = 0; i < 1000; i++) budget.requested('s', false);
-    for (let i = 0; i < 160; i++) budget.requested('s', true);
+    for (let i = 0; i < 1000; i++) budget.countRequest('s', false);
+    for (let i = 0; i < 160; i++) budget.countRequest('s', true);
     expect(budget.take('s', { previousOutcome: 'not-run', callsBefore: 1 })).to.equal(false);
   });
 });
--- a/tests/linkServer.spec.ts
+++ b/tests/linkServer.spec.ts
@@ -1,4 +1,11 @@
-import { type CallHandler, EMPTY_ITEM, LinkServer, NO_HEAD, WorkTurns, answerOf } from '@cleatquay/calls';
+import {
+  type CallHandler,
+  EMPTY_ITEM,
+  LinkServer,
+  NO_HEAD,
+  WorkTurns,
+  singlePartResponse,
+} from '@cleatquay/calls';
 import { ManualClock, SystemClock } from '@cleatquay/clock';
 import { LinkFrame, type LinkItem, endOf, refusalOf } from '@cleatquay/protocol';
 import { expect } from 'chai';
@@ -53,7 +60,7 @@
     const socket = fakeSocket();
     const handle = () => {
       handled++;
-      return Promise.resolve(answerOf(endOf(refusalOf('overloaded', ''), 0)));
+      return Promise.resolve(singlePartResponse(endOf(refusalOf('overloaded', ''), 0)));
     };
     expect(
       new LinkServer(socket as never, {
@@ -80,7 +87,7 @@
     const remaining: (number | undefined)[] = [];
     const handle: CallHandler = ({ context }) => {
       remaining.push(context?.remainingMs);
-      return Promise.resolve(answerOf(endOf(refusalOf('overloaded', ''), 0)));
+      return Promise.resolve(singlePartResponse(endOf(refusalOf('overloaded', ''), 0)));
     };
     const server = new LinkServer(socket as never, {
       clock: manual,
@@ -108,7 +115,7 @@
         clock: manual,
         handle: ({ context }) => {
           started.push(context?.remainingMs);
-          return Promise.resolve(answerOf(endOf(refusalOf('overloaded', ''), 0)));
+          return Promise.resolve(singlePartResponse(endOf(refusalOf('overloaded', ''), 0)));
         },
         scheduler: new WorkTurns(manual, () => false),
         configuration: NO_CONFIGURATION,
--- a/tests/rateLimit.spec.ts
+++ b/tests/rateLimit.spec.ts
@@ -194,7 +194,7 @@
       });
     const history = () => upstreams.get('history')!;
     const respond = (rateLimit: AnswerNotice['rateLimit']) =>
-      history().heard(noticeWith(rateLimit), clock.awake());
+      history().onNotice(noticeWith(rateLimit), clock.awake());
     const perSecond = () => history().admission.rate.perSecond;
     const pass = async (ms: number) => {
       for (let i = 0; i < ms; i += 500) {
@@ -212,7 +212,7 @@
 
     it('is kept for an upstream that announces itself again after an outage, and not for its next process start', async () => {
       respond(5);
-      history().refusedConnection();
+      history().onConnectionRefused();
       expect(upstreams.get('history')).to.equal(undefined);
       await announce();
       expect(perSecond()).to.equal(5);
--- a/tests/relay.spec.ts
+++ b/tests/relay.spec.ts
@@ -1,13 +1,13 @@
 import {
   type CallRoute,
   LearnedCalls,
-  Journal,
+  DecisionTrace,
   QuotaGate,
   Relay,
   type RelayedRequest,
   RunningCalls,
-  Senders,
-  answerOf,
+  Authenticator,
+  singlePartResponse,
 } from '@cleatquay/calls';
 import { CALLER_LEFT, type CancelSignal, Cancellation, ManualClock, NEVER_CANCELLED } from '@cleatquay/clock';
 import { OrganisationCounts } from '@cleatquay/organisations';
@@ -58,8 +58,8 @@
       signal: CancelSignal,
     ) => {
       forwardedSignals.push(signal);
-      return new Promise<ReturnType<typeof answerOf>>(resolve => {
-        const cancelled = () => resolve(answerOf(endOf(refusalOf('contactLost', 'Cancelled.'), 0)));
+      return new Promise<ReturnType<typeof singlePartResponse>>(resolve => {
+        const cancelled = () => resolve(singlePartResponse(endOf(refusalOf('contactLost', 'Cancelled.'), 0)));
         signal.addEventListener('abort', cancelled);
       });
     };
@@ -67,13 +67,13 @@
       clock,
       routes: () => routes,
       configuration: { generation: 1, digest: 'd' },
-      journal: new Journal(clock),
+      journal: new DecisionTrace(clock),
       forwarder: { forward },
       originService: 'history',
-      senders: new Senders({ random: () => 0.5, areKeysProven: () => true }),
+      authenticator: new Authenticator({ random: () => 0.5, areRevocationsCurrent: () => true }),
       quotaGate: new QuotaGate({
         clock,
-        journal: new Journal(clock),
+        journal: new DecisionTrace(clock),
         quotas: () => {
           throw new Error('No organisation has a quota in this test.');
         },
@@ -84,7 +84,7 @@
       timeLeftMs: () => timeLeftMs,
       random: () => 0.5,
       running: new RunningCalls(),
-      learned: new LearnedCalls(clock),
+      learnedCalls: new LearnedCalls(clock),
     });
   }
 
--- a/tests/retryBudget.spec.ts
+++ b/tests/retryBudget.spec.ts
@@ -1,15 +1,15 @@
 import {
-  type CallAnswer,
+  type CallResponse,
   EMPTY_BODY,
   Forwarder,
-  Journal,
+  DecisionTrace,
   type Peers,
   ReplayBody,
-  RetryAllowance,
+  TokenBucketRetryBudget,
   RunningCall,
-  LostContact,
-  answerOf,
-  isLast,
+  ConnectionLoss,
+  singlePartResponse,
+  isFinalPart,
 } from '@cleatquay/calls';
 import { ManualClock, seededRandom } from '@cleatquay/clock';
 import { type AnswerPart, type CallContext, type RequestHead, endOf, refusalOf } from '@cleatquay/protocol';
@@ -57,26 +57,28 @@
       random: () => 0.5,
       router: this.router,
       peers: { exchange } as unknown as Peers,
-      retries: new RetryAllowance(),
-      freeMoves: 0,
-      signalsEndInTime: false,
-      journal: new Journal(this.clock),
+      retries: new TokenBucketRetryBudget(),
+      freeReroutes: 0,
+      signalsEnforceDeadline: false,
+      journal: new DecisionTrace(this.clock),
       quarantine: lonelyQuarantine(this.clock),
       self: 'none',
       local: exchange as never,
     });
     const body = new ReplayBody(EMPTY_BODY);
     const { first } = await forwarder.forward(ROUTE, { ...HEAD, context }, context, body, NEVER);
-    expect(isLast(first)).to.equal(true);
+    expect(isFinalPart(first)).to.equal(true);
     return first;
   }
 
-  private async serve(context: CallContext): Promise<CallAnswer> {
+  private async serve(context: CallContext): Promise<CallResponse> {
     this.attempts++;
     const outcome = this.outcomes[this.next++ % this.outcomes.length];
     if (outcome === 'refuse')
-      return answerOf(endOf(refusalOf('overloaded', '', { elsewhereHelps: true }), context.retryTokens));
-    if (outcome === 'lose') throw new LostContact('gone', false);
+      return singlePartResponse(
+        endOf(refusalOf('overloaded', '', { elsewhereHelps: true }), context.retryTokens),
+      );
+    if (outcome === 'lose') throw new ConnectionLoss('gone', false);
     const running = new RunningCall(context, ROUTE, 1e9, NEVER);
     for (let i = 0; i < this.fanOut && context.depth < this.depth; i++) {
       const child = await this.call({
@@ -86,14 +88,14 @@
       });
       running.returnTokens(child?.unusedRetryTokens ?? 0);
     }
-    if (outcome === 'lose-after-work') throw new LostContact('gone', false);
+    if (outcome === 'lose-after-work') throw new ConnectionLoss('gone', false);
     if (outcome === 'break') {
       const refusal = refusalOf('upstreamBroke', '', { elsewhereHelps: true });
-      return answerOf(endOf(refusal, running.retryTokens));
+      return singlePartResponse(endOf(refusal, running.retryTokens));
     }
     const head = { status: 200, headers: '', unframed: false };
     const end = { length: 0, crc32: 0 };
-    return answerOf({
+    return singlePartResponse({
       head,
       body: Buffer.alloc(0),
       end,
--- a/tests/shortage.spec.ts
+++ b/tests/shortage.spec.ts
@@ -7,7 +7,7 @@
  * served) were 0.93 of what the upstream ran.
  */
 import { expect } from 'chai';
-import { type ChainLoad, type ChainResult, playChains } from './fixtures/chainLoad.js';
+import { type ChainLoad, type ChainResult, simulateChains } from './fixtures/chainLoad.js';
 
 const SIMULATION_MS = 8000;
 const SEEDS = ['1', '2', '3', '4', '5', '6'];
@@ -55,7 +55,7 @@
 
   before(async () => {
     const simulations = await Promise.all(
-      SEEDS.map(seed => playChains(REMAINING_UPSTREAM, LOADS, SIMULATION_MS, seed)),
+      SEEDS.map(seed => simulateChains(REMAINING_UPSTREAM, LOADS, SIMULATION_MS, seed)),
     );
     const sum = (index: number, field: keyof ChainResult) =>
       simulations.reduce((total, results) => total + results[index]![field], 0);
--- a/tests/slowReaders.spec.ts
+++ b/tests/slowReaders.spec.ts
@@ -1,4 +1,4 @@
-import { WorkTurns, answerOf, replay } from '@cleatquay/calls';
+import { WorkTurns, singlePartResponse, replay } from '@cleatquay/calls';
 import { SystemClock } from '@cleatquay/clock';
 import { RelayGateway } from '@cleatquay/daemon';
 import { callerDialect } from '@cleatquay/platform';
@@ -24,7 +24,9 @@
     gateway = new RelayGateway({
       ingress: {
         handle: () =>
-          Promise.resolve(answerOf(replay({ head: { status: 200, headers: '', unframed: false }, body }))),
+          Promise.resolve(
+            singlePartResponse(replay({ head: { status: 200, headers: '', unframed: false }, body })),
+          ),
       },
       dialect: callerDialect,
       limits: () => undefined,
--- a/tests/upstreams.spec.ts
+++ b/tests/upstreams.spec.ts
@@ -111,7 +111,7 @@
 
     it('at which another instance responds belongs to no upstream until one announces it', async () => {
       await announce('first');
-      upstreams.get('history')?.anotherAnswers();
+      upstreams.get('history')?.onReplaced();
       expect(registered()).to.deep.equal([]);
       await announce('second');
       expect(registered()).to.deep.equal(['history second']);
@@ -120,7 +120,7 @@
 
   describe('an upstream that reports in a response that it is shutting down', () => {
     const LEAVING_NOTICE: AnswerNotice = { rateLimit: 'none', isLeaving: true };
-    const reportLeaving = () => upstreams.get('history')!.heard(LEAVING_NOTICE, clock.awake());
+    const reportLeaving = () => upstreams.get('history')!.onNotice(LEAVING_NOTICE, clock.awake());
     const isDraining = () => upstreams.get('history')!.isDraining;
 
     it('drains until it ends, whatever its heartbeats report and operators set, and is recorded once', async () => {
@@ -139,7 +139,7 @@
     it('still drains after it was removed meanwhile, and its next start does not', async () => {
       await announce('a', { born: 1 });
       reportLeaving();
-      upstreams.get('history')!.refusedConnection();
+      upstreams.get('history')!.onConnectionRefused();
       await announce('a', { born: 1 });
       expect(upstreams.get('history')?.isDraining ?? true).to.equal(true);
       await announce('a', { born: 2, sequence: 1 });
