--- a/packages/calls/src/attemptRegistry.ts
+++ b/packages/calls/src/attemptRegistry.ts
@@ -4,7 +4,7 @@
  */
 import { Cancellation, type Clock, NOT_NEEDED } from '@cleatquay/clock';
 import { type Refusal, type SealAnswer, type SealRequest, refusalOf } from '@cleatquay/protocol';
-import { type RecordedAnswer } from './answers.js';
+import { type RecordedResponse } from './responses.js';
 
 const MAX_RECORDS = 50_000;
 const MAX_RESPONSE_BYTES = 32 * 1_048_576;
@@ -15,7 +15,7 @@
 interface AttemptRecord {
   try: number;
   state: AttemptState;
-  response: RecordedAnswer | undefined;
+  response: RecordedResponse | undefined;
   /** Resolves when a dispatched attempt has ended. */
   readonly whenEnded: Promise<void>;
   readonly end: () => void;
@@ -67,7 +67,7 @@
   }
 
   /** The dispatched attempt ended; without a response, its outcome is unknown. */
-  markEnded(requestId: string, response: RecordedAnswer | undefined): void {
+  markEnded(requestId: string, response: RecordedResponse | undefined): void {
     const record = this.records.get(requestId);
     if (record?.state !== 'dispatched') return;
     record.state = response ? 'answered' : 'lost';
--- a/packages/calls/src/fingerprintedRequest.ts
+++ b/packages/calls/src/fingerprintedRequest.ts
@@ -1,7 +1,7 @@
 /** A request with its fingerprint, which is computed only when it is needed. */
 import { type Quarantine, type SuspectRequest, fingerprintOf } from '@cleatquay/quarantine';
 import { type RequestHead } from '@cleatquay/protocol';
-import { type ReplayBody } from './replayBody.js';
+import { type ReplayableBody } from './replayableBody.js';
 
 const NO_FINGERPRINT = { fingerprint: '', endedStarts: [] };
 
@@ -11,12 +11,12 @@
 
   constructor(
     private readonly head: RequestHead,
-    private readonly body: ReplayBody,
+    private readonly body: ReplayableBody,
   ) {}
 
   /** The fingerprint of the head and of the beginning of the body. */
   get fingerprint(): string {
-    return (this.cachedFingerprint ??= fingerprintOf(this.head, this.body.beginning));
+    return (this.cachedFingerprint ??= fingerprintOf(this.head, this.body.bufferedStart));
   }
 
   /**
@@ -26,7 +26,7 @@
    */
   headFields(quarantine: Quarantine): Pick<RequestHead, 'fingerprint' | 'endedStarts'> {
     const endedStarts = quarantine.isEmpty ? [] : quarantine.startsUnder(this.fingerprint);
-    if (endedStarts.length === 0 && this.body.atHand) return NO_FINGERPRINT;
+    if (endedStarts.length === 0 && this.body.completeBody) return NO_FINGERPRINT;
     return { fingerprint: this.fingerprint, endedStarts };
   }
 
@@ -38,6 +38,6 @@
 
   /** Records that an upstream sent a complete response to it. */
   recordResponse(quarantine: Quarantine): void {
-    quarantine.answered(this.head, this.body.beginning, () => this.fingerprint);
+    quarantine.answered(this.head, this.body.bufferedStart, () => this.fingerprint);
   }
 }
--- a/packages/calls/src/forwarder.ts
+++ b/packages/calls/src/forwarder.ts
@@ -13,7 +13,7 @@
 import { resultByCode } from '@cleatquay/errors';
 import { type Quarantine } from '@cleatquay/quarantine';
 import { type Candidate, type CallResult, type Router } from '@cleatquay/routing';
-import { BodyCheck, replay } from './answers.js';
+import { BodyChecksum, replay } from './responses.js';
 import {
   type CallResponse,
   type CallHandler,
@@ -22,14 +22,14 @@
   singlePartResponse,
   isFinalPart,
 } from './callHandler.js';
-import { HeardNotices } from './heardNotices.js';
+import { PeerNotices } from './peerNotices.js';
 import { quarantineRefusal } from './quarantineRefusal.js';
 import { type DecisionTrace } from './decisionTrace.js';
 import { ConnectionLoss } from './connectionLoss.js';
 import { decideRetry, hasReachedUpstream } from './decideRetry.js';
 import { type Peers } from './peers.js';
 import { FingerprintedRequest } from './fingerprintedRequest.js';
-import { type ReplayBody } from './replayBody.js';
+import { type ReplayableBody } from './replayableBody.js';
 import { type RetryBudget } from './tokenBucketRetryBudget.js';
 import { NON_IDEMPOTENT_GRACE_MS } from './upstreamDispatcher.js';
 
@@ -63,7 +63,7 @@
   readonly head: RequestHead;
   readonly context: CallContext;
   readonly candidate: Candidate;
-  readonly body: ReplayBody;
+  readonly body: ReplayableBody;
   readonly fingerprinted: FingerprintedRequest;
   readonly signal: CancelSignal;
   /** Retry tokens that stay with the forwarder while the attempt runs. */
@@ -73,7 +73,7 @@
 /** Forwards calls to upstreams, with their retries. */
 export class Forwarder {
   /** The notices of upstreams that were received from other daemons. */
-  readonly notices = new HeardNotices();
+  readonly notices = new PeerNotices();
 
   constructor(private readonly options: ForwarderOptions) {}
 
@@ -82,14 +82,14 @@
     route: CallRoute,
     head: RequestHead,
     context: CallContext,
-    body: ReplayBody,
+    body: ReplayableBody,
     signal: CancelSignal,
   ): Promise<CallResponse> {
     const { clock, router, retries, freeReroutes: freeMoves, journal, quarantine } = this.options;
     const startedAt = clock.now();
     if (quarantine.known) await quarantine.known;
     const fingerprinted = new FingerprintedRequest(head, body);
-    if (!body.atHand) await body.prepare();
+    if (!body.completeBody) await body.prefetch();
     retries.countRequest(route.service, context.isRepeat);
     const level = levelOf(context.class, context.rootId);
     const levelToSend = sendingLevel(level, context.depth);
@@ -133,7 +133,7 @@
           ...head,
           context: attemptContext,
           ...fingerprinted.headFields(quarantine),
-          notice: this.notices.toTell(route.service, candidate),
+          notice: this.notices.noticeFor(route.service, candidate),
         },
         context: attemptContext,
         candidate,
@@ -189,7 +189,7 @@
       if (result === 'answered') attempt.fingerprinted.recordResponse(this.options.quarantine);
     };
     try {
-      const bytes = body.atHand ?? (await body.read());
+      const bytes = body.completeBody ?? (await body.read());
       const response =
         candidate.address === self
           ? await local(head, bytes, timeLimit.signal)
@@ -226,16 +226,16 @@
       if (load) router.heard(candidate.address, route.name, load);
     };
     onLoad(first);
-    this.notices.heard(route.service, candidate, first);
+    this.notices.record(route.service, candidate, first);
     const { refusal, unusedRetryTokens, load } = first;
     if (refusal) return { refusal, unusedRetryTokens, load };
-    const check = new BodyCheck();
+    const check = new BodyChecksum();
     check.add(first.body);
     if (!first.end) {
       if (!rest) return checksumMismatch();
       return { first, rest: verifiedRest(rest, check, retainedTokens, onLoad, finish) };
     }
-    if (!check.agrees(first.end)) return checksumMismatch();
+    if (!check.matches(first.end)) return checksumMismatch();
     return singlePartResponse({ ...first, unusedRetryTokens: retainedTokens + unusedRetryTokens });
   }
 
@@ -322,7 +322,7 @@
 /** A long response, whose checksum can only be verified at its end; it fails there on a mismatch. */
 async function* verifiedRest(
   rest: AsyncIterable<AnswerPart>,
-  check: BodyCheck,
+  check: BodyChecksum,
   retainedTokens: number,
   onLoad: (part: AnswerPart) => void,
   finish: (result: CallResult) => void,
@@ -332,7 +332,7 @@
     for await (const part of rest) {
       onLoad(part);
       check.add(part.body);
-      if (part.end && !check.agrees(part.end)) throw new Error('The response does not match its checksum.');
+      if (part.end && !check.matches(part.end)) throw new Error('The response does not match its checksum.');
       if (part.end) result = 'answered';
       yield isFinalPart(part)
         ? { ...part, unusedRetryTokens: retainedTokens + part.unusedRetryTokens }
--- a/packages/calls/src/headers.ts
+++ b/packages/calls/src/headers.ts
@@ -25,10 +25,10 @@
 } as const;
 
 /** Carries a caller's key, where requests need one. */
-export const CREDENTIALS = 'authorization';
+export const AUTHORIZATION_HEADER = 'authorization';
 
 /** Hop-by-hop headers (RFC 9110, section 7.6.1), and those that concern the framing of one message. */
-export const CONNECTION_HEADERS: readonly string[] = [
+export const HOP_BY_HOP_HEADERS: readonly string[] = [
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -42,14 +42,17 @@
 ];
 
 /** Headers that the native interface does not forward; lower case. */
-export const OWN_HEADERS: ReadonlySet<string> = new Set([
-  ...CONNECTION_HEADERS,
+export const STRIPPED_HEADERS: ReadonlySet<string> = new Set([
+  ...HOP_BY_HOP_HEADERS,
   'host',
   ...Object.values(headerNames),
 ]);
 
 /** The same for requests that carry keys, which must not reach upstreams. */
-export const OWN_HEADERS_WITH_KEYS: ReadonlySet<string> = new Set([...OWN_HEADERS, CREDENTIALS]);
+export const STRIPPED_HEADERS_WITH_AUTHORIZATION: ReadonlySet<string> = new Set([
+  ...STRIPPED_HEADERS,
+  AUTHORIZATION_HEADER,
+]);
 
 /**
  * A list of headers as one string of alternating names and values, each terminated by a line feed, which no header can
@@ -58,9 +61,9 @@
 export type HeaderBlock = string;
 
 /** The forwarded headers among node's raw headers; names in `stripped` are in lower case. */
-export function passedRawHeaders(
+export function forwardedRawHeaders(
   raw: readonly string[],
-  stripped: ReadonlySet<string> = OWN_HEADERS,
+  stripped: ReadonlySet<string> = STRIPPED_HEADERS,
 ): HeaderBlock {
   let block = '';
   for (let i = 0; i + 1 < raw.length; i += 2) {
@@ -71,9 +74,9 @@
 }
 
 /** The forwarded headers of a response, as represented by undici. */
-export function passedHeaders(
+export function forwardedHeaders(
   headers: Record<string, string | string[] | undefined>,
-  stripped: ReadonlySet<string> = OWN_HEADERS,
+  stripped: ReadonlySet<string> = STRIPPED_HEADERS,
 ): HeaderBlock {
   let block = '';
   for (const name in headers) {
@@ -86,7 +89,7 @@
 }
 
 /** Alternating names and values, as node and undici accept them. */
-export function headerList(block: HeaderBlock): string[] {
+export function parseHeaderBlock(block: HeaderBlock): string[] {
   const list = block.split('\n');
   list.pop();
   return list;
--- a/packages/calls/src/index.ts
+++ b/packages/calls/src/index.ts
@@ -1,6 +1,6 @@
 /** Carries a request from its caller through the daemons to an upstream, with deadlines, retries and at-most-once execution. */
-export { type AnswerNotice, NOTHING_SAID, answerNotice, isRate } from './answerNotice.js';
-export { BodyCheck, replay } from './answers.js';
+export { type ResponseNotice, EMPTY_NOTICE, parseNotice, isValidRate } from './responseNotice.js';
+export { BodyChecksum, replay } from './responses.js';
 export {
   type CallResponse,
   type CallBody,
@@ -16,25 +16,25 @@
 export { type CallerRequest, Ingress, type IngressOptions } from './ingress.js';
 export { Forwarder, type ForwarderOptions } from './forwarder.js';
 export {
-  CONNECTION_HEADERS,
-  CREDENTIALS,
-  OWN_HEADERS,
-  OWN_HEADERS_WITH_KEYS,
+  HOP_BY_HOP_HEADERS,
+  AUTHORIZATION_HEADER,
+  STRIPPED_HEADERS,
+  STRIPPED_HEADERS_WITH_AUTHORIZATION,
   type HeaderBlock,
-  headerList,
+  parseHeaderBlock,
   headerNames,
-  passedHeaders,
-  passedRawHeaders,
+  forwardedHeaders,
+  forwardedRawHeaders,
 } from './headers.js';
-export { HeardNotices } from './heardNotices.js';
-export { TransitDelays, toSentAt } from './frameDelays.js';
+export { PeerNotices } from './peerNotices.js';
+export { TransitDelays, toSentAt } from './transitDelays.js';
 export { RequestDeduplicator } from './requestDeduplicator.js';
-export { type InnerHandlers, InnerServer } from './innerServer.js';
+export { type PeerHandlers, PeerServer } from './peerServer.js';
 export { type Decision, type DecisionSink, type Facts, DecisionTrace } from './decisionTrace.js';
 export { ConnectionLoss } from './connectionLoss.js';
-export { type Contact, Peers } from './peers.js';
-export { ReplayBody } from './replayBody.js';
-export { type RequestId, RequestIds, parseRequestId } from './requestId.js';
+export { type Reachability, Peers } from './peers.js';
+export { ReplayableBody } from './replayableBody.js';
+export { type RequestId, RequestIdIssuer, parseRequestId } from './requestId.js';
 export { type Retry, TokenBucketRetryBudget, type RetryBudget } from './tokenBucketRetryBudget.js';
 export { RunningCall, RunningCalls, type RunningRequest } from './runningCalls.js';
 export { AttemptRegistry } from './attemptRegistry.js';
@@ -45,8 +45,8 @@
   type UpstreamDispatcherOptions,
 } from './upstreamDispatcher.js';
 export {
-  MisplacedAnswer,
-  type UpstreamAnswer,
+  ResponseMismatch,
+  type UpstreamResponse,
   UpstreamConnections,
   type UpstreamRequest,
 } from './upstreamConnections.js';
@@ -56,15 +56,15 @@
   type CrashDetectorOptions,
   receivedFingerprint,
 } from './crashDetector.js';
-export { type AnswerMeaning, type UpstreamDialect, ownDialect } from './upstreamDialect.js';
+export { type ResponseMeaning, type UpstreamDialect, defaultDialect } from './upstreamDialect.js';
 export { type FleetRetryBounds, FleetRetryBudget } from './fleetRetryBudget.js';
 export { QuotaGate, type QuotaGateOptions } from './quotaGate.js';
 export { Authenticator } from './authenticator.js';
 export { Relay, type RelayOptions, type RelayedRequest } from './relay.js';
 export { type CalledRoute, LearnedCalls } from './learnedCalls.js';
-export { type EncodedHead, HeadDecoder, HeadEncoder, MAX_TEMPLATES, NO_HEAD } from './headTemplates.js';
-export { EMPTY_ITEM } from './linkParts.js';
+export { type EncodedHead, HeadDecoder, HeadEncoder, MAX_TEMPLATES, NO_HEAD } from './headCompression.js';
+export { EMPTY_ITEM } from './flowControl.js';
 export { LinkServer } from './linkServer.js';
-export { FrameStream, type FrameStreamEvents } from './linkStream.js';
+export { FrameStream, type FrameStreamEvents } from './frameStream.js';
 export { type RetryContext, type RetryDecision, decideRetry } from './decideRetry.js';
-export { WorkTurns } from './workTurns.js';
+export { RequestScheduler } from './requestScheduler.js';
--- a/packages/calls/src/ingress.ts
+++ b/packages/calls/src/ingress.ts
@@ -11,7 +11,7 @@
 import { type Credentials, type Organisation } from '@cleatquay/organisations';
 import { type Directory } from '@cleatquay/routing';
 import { type CallGraph, type Route } from '@cleatquay/settings';
-import { replay } from './answers.js';
+import { replay } from './responses.js';
 import {
   type CallResponse,
   type CallBody,
@@ -27,8 +27,8 @@
 import { type Peers } from './peers.js';
 import { type HeaderBlock } from './headers.js';
 import { type QuotaGate, type ForwardRequest } from './quotaGate.js';
-import { ReplayBody } from './replayBody.js';
-import { type RequestIds, parseRequestId } from './requestId.js';
+import { ReplayableBody } from './replayableBody.js';
+import { type RequestIdIssuer, parseRequestId } from './requestId.js';
 import { type RunningCall, type RunningCalls } from './runningCalls.js';
 import { type Principal, type Authenticator } from './authenticator.js';
 
@@ -66,7 +66,7 @@
   readonly peers: Peers;
   readonly directory: Directory;
   readonly deduplicator: RequestDeduplicator;
-  readonly ids: RequestIds;
+  readonly ids: RequestIdIssuer;
   readonly idempotencyKeys: IdempotencyKeys;
   readonly running: RunningCalls;
   readonly journal: DecisionTrace;
@@ -79,7 +79,7 @@
   readonly route: Route;
   readonly head: RequestHead;
   readonly context: CallContext;
-  readonly body: ReplayBody;
+  readonly body: ReplayableBody;
   readonly signal: CancelSignal;
 }
 
@@ -111,7 +111,7 @@
       yield endOf(this.withoutFalseNotRun(request, sender), 0);
       return;
     }
-    const body = new ReplayBody(source);
+    const body = new ReplayableBody(source);
     if (parent) yield* this.handleCall(request, route, parent, body, signal);
     else yield* this.handleRootRequest(request, route, sender.organisation, body, signal);
   }
@@ -145,7 +145,7 @@
       route,
       head: { ...head, context },
       context,
-      body: new ReplayBody(source),
+      body: new ReplayableBody(source),
       signal,
     });
   }
@@ -204,7 +204,7 @@
     request: CallerRequest,
     route: Route,
     parent: RunningCall,
-    body: ReplayBody,
+    body: ReplayableBody,
     signal: CancelSignal,
   ): AsyncGenerator<AnswerPart> {
     const { clock, forwarder, deduplicator: home } = this.options;
@@ -226,7 +226,7 @@
       yield* responseParts(start(Cancellation.any([signal, parent.signal], CALLER_LEFT)));
       return;
     }
-    await body.prepare();
+    await body.prefetch();
     const lifetimeMs = this.options.graph()?.file.requestIdLifetimeMs ?? 0;
     yield* home.runOnce(context.requestId, lifetimeMs, context.remainingMs, signal, () => start(NEVER));
   }
@@ -249,7 +249,7 @@
     request: CallerRequest,
     route: Route,
     organisation: Organisation | undefined,
-    body: ReplayBody,
+    body: ReplayableBody,
     signal: CancelSignal,
   ): AsyncGenerator<AnswerPart> {
     const { ids, deduplicator: home, forwarder } = this.options;
@@ -266,7 +266,7 @@
       }
       return;
     }
-    await body.prepare();
+    await body.prefetch();
     if (!home.hasCapacity && request.requestId === undefined) {
       yield endOf(
         this.withoutFalseNotRun(request, refusalOf('memoryFull', 'Too many request results are stored.')),
@@ -316,7 +316,7 @@
       yield endOf(refusalOf('requestIdExpired', 'The id has expired.'), 0);
       return;
     }
-    await call.body.prepare();
+    await call.body.prefetch();
     const { route, head, context, body } = call;
     // The quota is charged once per id, so that a resend is not charged again.
     const organisation = this.options.graph()?.keyring?.get(context.organisation);
--- a/packages/calls/src/link.ts
+++ b/packages/calls/src/linkClient.ts
@@ -10,12 +10,12 @@
   type RequestPart,
 } from '@cleatquay/protocol';
 import { type Socket } from 'node:net';
-import { PART_BYTES } from './answers.js';
+import { PART_BYTES } from './responses.js';
 import { type CallResponse, type CallBody, singlePartResponse, isFinalPart } from './callHandler.js';
-import { toSentAt } from './frameDelays.js';
-import { HeadEncoder, NO_HEAD } from './headTemplates.js';
-import { AsyncQueue, FrameWriter, SendWindow } from './linkParts.js';
-import { FrameStream } from './linkStream.js';
+import { toSentAt } from './transitDelays.js';
+import { HeadEncoder, NO_HEAD } from './headCompression.js';
+import { AsyncQueue, FrameWriter, SendWindow } from './flowControl.js';
+import { FrameStream } from './frameStream.js';
 import { ConnectionLoss } from './connectionLoss.js';
 
 /** How often a link with pending calls is checked. */
--- a/packages/calls/src/linkServer.ts
+++ b/packages/calls/src/linkServer.ts
@@ -13,11 +13,11 @@
 } from '@cleatquay/protocol';
 import { type Socket } from 'node:net';
 import { type CallHandler, isFinalPart } from './callHandler.js';
-import { TransitDelays } from './frameDelays.js';
-import { HeadDecoder } from './headTemplates.js';
-import { AsyncQueue, FrameWriter, SendWindow } from './linkParts.js';
-import { FrameStream } from './linkStream.js';
-import { type WorkTurns } from './workTurns.js';
+import { TransitDelays } from './transitDelays.js';
+import { HeadDecoder } from './headCompression.js';
+import { AsyncQueue, FrameWriter, SendWindow } from './flowControl.js';
+import { FrameStream } from './frameStream.js';
+import { type RequestScheduler } from './requestScheduler.js';
 
 interface ServedCall {
   /** Undefined if the first part was the whole request. */
@@ -31,7 +31,7 @@
 export interface LinkServerOptions {
   readonly clock: Clock;
   readonly handle: CallHandler;
-  readonly scheduler: WorkTurns;
+  readonly scheduler: RequestScheduler;
   /** Returns what the peer's configuration lacks of this daemon's. */
   readonly configuration: (request: ConfigurationRequest) => ConfigurationAnswer;
 }
@@ -113,7 +113,7 @@
     if (!isUsableHead(head))
       return send(endOf(refusalOf('innerMessageInvalid', 'The request head is missing or invalid.'), 0));
     try {
-      const queued = this.options.scheduler.take();
+      const queued = this.options.scheduler.acquire();
       const waitedMs = queued ? await queued : 0;
       if (cancellation.signal.aborted) return;
       const body = requestParts ? this.readBody(number, requestParts) : first.body;
--- a/packages/calls/src/localUpstream.ts
+++ b/packages/calls/src/localUpstream.ts
@@ -1,7 +1,7 @@
 /** The interface of the local upstream, on the same VM as the daemon, that calls use. */
 import { type Admission, type RouteCosts } from '@cleatquay/admission';
 import { type UpstreamNotice } from '@cleatquay/protocol';
-import { type AnswerNotice } from './answerNotice.js';
+import { type ResponseNotice } from './responseNotice.js';
 import { type UpstreamConnections } from './upstreamConnections.js';
 
 /** An upstream that has announced itself to this daemon. */
@@ -23,5 +23,5 @@
   /** Its latest notice for other daemons; usually undefined. */
   readonly notice: UpstreamNotice | undefined;
   /** Takes the notice in one of its responses. `sentAt` is when the request was sent to it, by the clock's `awake`, ms. */
-  readonly onNotice: (notice: AnswerNotice, sentAt: number) => void;
+  readonly onNotice: (notice: ResponseNotice, sentAt: number) => void;
 }
--- a/packages/calls/src/heardNotices.ts
+++ b/packages/calls/src/peerNotices.ts
@@ -13,20 +13,20 @@
 }
 
 /** The latest notice of each service's upstream, by the address of its daemon. */
-export class HeardNotices {
+export class PeerNotices {
   private readonly byAddress = new Map<string, Map<string, ReceivedNotice>>();
 
   /**
    * Records what the first part of a response reports. A refusal without a notice does not show that the upstream has none:
    * the daemon itself may have sent it.
    */
-  heard(service: string, { address, epoch }: Candidate, { head, notice }: AnswerPart): void {
+  record(service: string, { address, epoch }: Candidate, { head, notice }: AnswerPart): void {
     if (notice) this.store(address, service, { epoch, notice });
     else if (head && this.byAddress.size > 0) this.byAddress.get(address)?.delete(service);
   }
 
   /** The notice to send to a daemon; undefined if there is none or the same process has reported it. */
-  toTell(service: string, { address, epoch }: Candidate): UpstreamNotice | undefined {
+  noticeFor(service: string, { address, epoch }: Candidate): UpstreamNotice | undefined {
     if (this.byAddress.size === 0) return undefined;
     const received = this.byAddress.get(address)?.get(service);
     return received?.epoch === epoch ? undefined : received?.notice;
--- a/packages/calls/src/innerServer.ts
+++ b/packages/calls/src/peerServer.ts
@@ -11,19 +11,19 @@
 import { type AddressInfo, type Server as TcpServer, type Socket, createServer } from 'node:net';
 import { type CallHandler } from './callHandler.js';
 import { LinkServer } from './linkServer.js';
-import { type WorkTurns } from './workTurns.js';
+import { type RequestScheduler } from './requestScheduler.js';
 
 /** Handlers of the requests that peers send to this daemon. */
-export interface InnerHandlers {
+export interface PeerHandlers {
   readonly clock: Clock;
   readonly exchange: CallHandler;
-  readonly turns: WorkTurns;
+  readonly scheduler: RequestScheduler;
   readonly seal: (request: SealRequest) => Promise<SealAnswer>;
   readonly configuration: (request: ConfigurationRequest) => ConfigurationAnswer;
 }
 
 /** Serves peers until disposed of. */
-export class InnerServer implements AsyncDisposable {
+export class PeerServer implements AsyncDisposable {
   private readonly grpcServer = new Server({
     'grpc.max_receive_message_length': 4 * 1_048_576,
     // Closes dead connections of peers that were partitioned and have reconnected since.
@@ -36,7 +36,7 @@
   private readonly links = new Map<Socket, LinkServer>();
   private readonly listener: TcpServer = createServer(socket => this.accept(socket));
 
-  constructor(private readonly handlers: InnerHandlers) {
+  constructor(private readonly handlers: PeerHandlers) {
     this.grpcServer.addService(InnerService, {
       seal: (
         call: { request: SealRequest },
@@ -87,7 +87,7 @@
   }
 
   private serveLink(socket: Socket, first: Buffer): void {
-    const { exchange: handle, turns: scheduler, configuration, clock } = this.handlers;
+    const { exchange: handle, scheduler: scheduler, configuration, clock } = this.handlers;
     const link = new LinkServer(socket, { clock, handle, scheduler, configuration });
     this.links.set(socket, link);
     socket.once('close', () => this.links.delete(socket));
--- a/packages/calls/src/peers.ts
+++ b/packages/calls/src/peers.ts
@@ -12,7 +12,7 @@
 import { Metadata, type ServiceError, credentials, status } from '@grpc/grpc-js';
 import { connect } from 'node:net';
 import { type CallResponse, type CallBody } from './callHandler.js';
-import { LIVENESS_CHECK_INTERVAL_MS, LinkClient } from './link.js';
+import { LIVENESS_CHECK_INTERVAL_MS, LinkClient } from './linkClient.js';
 import { ConnectionLoss } from './connectionLoss.js';
 
 const GRPC_OPTIONS = {
@@ -36,7 +36,7 @@
 const DOMAIN_ACTIVITY_MS = 300;
 
 /** Whether a peer can be expected to respond: it does, it has stopped responding, or its connection was lost. */
-export type Contact = 'good' | 'silent' | 'lost';
+export type Reachability = 'good' | 'silent' | 'lost';
 
 /** Links and gRPC clients by the addresses of peers. */
 export class Peers implements Disposable {
@@ -50,7 +50,7 @@
   constructor(
     private readonly clock: Clock,
     /** Whether fault injection drops the traffic to a peer; a hook for tests. */
-    private readonly isCut: (address: string) => boolean,
+    private readonly isPartitioned: (address: string) => boolean,
   ) {}
 
   /** Makes one call to a peer. Rejects with ConnectionLoss if the call ends before its last part. */
@@ -60,26 +60,27 @@
     body: CallBody,
     signal: CancelSignal,
   ): Promise<CallResponse> {
-    if (this.isCut(address)) throw new ConnectionLoss(`${address} is partitioned.`, true);
+    if (this.isPartitioned(address)) throw new ConnectionLoss(`${address} is partitioned.`, true);
     const link = this.links.get(address) ?? (await this.connectOrReconnectLater(address));
     this.scheduleLivenessCheck();
     const response = await link.exchange(head, body, signal);
-    if (this.isCut(address)) throw new ConnectionLoss(`${address} was partitioned during the call.`, false);
+    if (this.isPartitioned(address))
+      throw new ConnectionLoss(`${address} was partitioned during the call.`, false);
     return response;
   }
 
   /** Whether a peer can be expected to respond. */
-  contact(address: string): Contact {
+  reachabilityOf(address: string): Reachability {
     if (this.reconnections.has(address)) return 'lost';
     return this.links.get(address)?.isUnresponsive === true ? 'silent' : 'good';
   }
 
   /** Whether the failure domain of these peers looks partitioned: several of them do not respond, and no other was active recently. */
-  areCutOff(addresses: readonly string[]): boolean {
+  arePartitioned(addresses: readonly string[]): boolean {
     const activeSince = this.clock.now() - DOMAIN_ACTIVITY_MS;
     let unreachablePeers = 0;
     for (const address of addresses) {
-      const isUnreachable = this.contact(address) !== 'good';
+      const isUnreachable = this.reachabilityOf(address) !== 'good';
       if (isUnreachable) unreachablePeers++;
       else if ((this.links.get(address)?.lastActivityAt ?? 0) > activeSince) return false;
     }
@@ -88,7 +89,7 @@
 
   /** Asks a peer to seal an attempt, which bars it from dispatch. */
   async seal(address: string, request: SealRequest, timeoutMs: number): Promise<SealAnswer> {
-    if (this.isCut(address)) throw new ConnectionLoss(`${address} is partitioned.`, true);
+    if (this.isPartitioned(address)) throw new ConnectionLoss(`${address} is partitioned.`, true);
     return new Promise((resolve, reject) => {
       const deadline = Date.now() + timeoutMs;
       this.client(address).seal(request, new Metadata(), { deadline }, (error, response) => {
@@ -100,7 +101,7 @@
 
   /** Fetches from a peer what this daemon's configuration lacks. */
   async fetchConfiguration(address: string, request: ConfigurationRequest): Promise<ConfigurationAnswer> {
-    if (this.isCut(address)) throw new ConnectionLoss(`${address} is partitioned.`, true);
+    if (this.isPartitioned(address)) throw new ConnectionLoss(`${address} is partitioned.`, true);
     const link = this.links.get(address) ?? (await this.connectOrReconnectLater(address));
     this.scheduleLivenessCheck();
     const cancellation = new Cancellation();
@@ -168,7 +169,7 @@
   private async reconnect(address: string, signal: CancelSignal): Promise<void> {
     while (!signal.aborted) {
       await this.clock.sleep(RECONNECT_INTERVAL_MS, signal);
-      if (signal.aborted || this.isCut(address)) continue;
+      if (signal.aborted || this.isPartitioned(address)) continue;
       const link = await this.connect(address).catch(() => undefined);
       if (link) return;
     }
--- a/packages/calls/src/relay.ts
+++ b/packages/calls/src/relay.ts
@@ -14,7 +14,7 @@
 import { type DecisionTrace } from './decisionTrace.js';
 import { type LearnedCalls } from './learnedCalls.js';
 import { type QuotaGate } from './quotaGate.js';
-import { ReplayBody } from './replayBody.js';
+import { ReplayableBody } from './replayableBody.js';
 import { recordOutcome } from './recordOutcome.js';
 import { type RunningCall, type RunningCalls } from './runningCalls.js';
 import { type Authenticator } from './authenticator.js';
@@ -87,7 +87,7 @@
     if (isRefused) return this.refuseForPressure(context);
     if (context.remainingMs > this.options.timeLeftMs()) return this.refuseForShutdown(context);
     const forward = (forwardedContext: CallContext) =>
-      this.withinTimeout(request, forwardedContext, route, service, new ReplayBody(source), signal);
+      this.withinTimeout(request, forwardedContext, route, service, new ReplayableBody(source), signal);
     return organisation
       ? this.options.quotaGate.forwardWithinQuota(organisation, context, forward)
       : forward(context);
@@ -156,7 +156,7 @@
     context: CallContext,
     route: HostRoute,
     service: string,
-    body: ReplayBody,
+    body: ReplayableBody,
     signal: CancelSignal,
   ): Promise<CallResponse> {
     const { clock, forwarder, journal, quotaGate } = this.options;
--- a/packages/calls/src/replayBody.ts
+++ b/packages/calls/src/replayableBody.ts
@@ -4,7 +4,7 @@
 const MAX_REPLAYABLE_BYTES = 65_536;
 
 /** Reads its source once and buffers the beginning. */
-export class ReplayBody {
+export class ReplayableBody {
   private readonly buffered: Uint8Array[] = [];
   private bufferedBytes = 0;
   private ended = false;
@@ -23,17 +23,17 @@
   }
 
   /** The complete body if it has been received already; most bodies are empty and need no waiting. */
-  get atHand(): Buffer | undefined {
+  get completeBody(): Buffer | undefined {
     return this.whole;
   }
 
   /** The complete body, or the buffered beginning of one that is streamed. */
-  get beginning(): Buffer {
+  get bufferedStart(): Buffer {
     return this.whole ?? Buffer.concat(this.buffered);
   }
 
   /** Buffers the body up to the limit. */
-  async prepare(): Promise<void> {
+  async prefetch(): Promise<void> {
     if (!this.source || this.whole) return;
     while (!this.ended && this.bufferedBytes < MAX_REPLAYABLE_BYTES) {
       const { value, done } = await this.source.next();
@@ -45,7 +45,7 @@
 
   /** The complete body, from its beginning. */
   async read(): Promise<CallBody> {
-    await this.prepare();
+    await this.prefetch();
     return this.whole ?? this.stream();
   }
 
--- a/packages/calls/src/requestDeduplicator.ts
+++ b/packages/calls/src/requestDeduplicator.ts
@@ -6,13 +6,13 @@
 import { type Outcome, invariant } from '@cleatquay/errors';
 import { type AnswerPart, type Refusal, endOf, refusalOf } from '@cleatquay/protocol';
 import { type CallResponse, responseParts } from './callHandler.js';
-import { AnswerRecorder, type RecordedAnswer, replay } from './answers.js';
+import { ResponseRecorder, type RecordedResponse, replay } from './responses.js';
 
 const MAX_RECORDS = 100_000;
 const MAX_RESPONSE_BYTES = 32 * 1_048_576;
 
 type RequestResult =
-  | { readonly kind: 'answered'; readonly response: RecordedAnswer }
+  | { readonly kind: 'answered'; readonly response: RecordedResponse }
   | { readonly kind: 'refused'; readonly refusal: Refusal };
 
 interface RequestRecord {
@@ -100,7 +100,7 @@
   }
 
   private async run(start: () => Promise<CallResponse>): Promise<RequestResult> {
-    const recorder = new AnswerRecorder();
+    const recorder = new ResponseRecorder();
     this.running++;
     try {
       for await (const part of responseParts(start())) {
--- a/packages/calls/src/requestId.ts
+++ b/packages/calls/src/requestId.ts
@@ -23,7 +23,7 @@
 }
 
 /** Issues the ids of one daemon. */
-export class RequestIds {
+export class RequestIdIssuer {
   private sequence = 0;
 
   constructor(
--- a/packages/calls/src/workTurns.ts
+++ b/packages/calls/src/requestScheduler.ts
@@ -24,7 +24,7 @@
 }
 
 /** Decides when a process starts the requests that it has read, in the order in which it read them. */
-export class WorkTurns {
+export class RequestScheduler {
   private readonly waiting: Waiter[] = [];
   private iteration = 0;
   private isIterationOpen = false;
@@ -40,7 +40,7 @@
    * Requests time to start a request that was just read. Returns undefined if it can start at once; otherwise resolves
    * when it can, with the time that it was queued, ms.
    */
-  take(): Promise<number> | undefined {
+  acquire(): Promise<number> | undefined {
     const now = this.clock.now();
     this.openIteration(now);
     const canStart = this.waiting.length === 0 && now < this.sliceEnd && !this.isLagging();
--- a/packages/calls/src/answerNotice.ts
+++ b/packages/calls/src/responseNotice.ts
@@ -4,7 +4,7 @@
 export type HeaderValue = string | string[] | undefined;
 
 /** What one response reports of the upstream that sent it. */
-export interface AnswerNotice {
+export interface ResponseNotice {
   /**
    * Requests per second that the upstream accepts from all daemons together. `none` if it reports no limit; `unclear` if
    * the header is not a valid rate, which changes nothing.
@@ -15,28 +15,28 @@
 }
 
 /** The notice of a response without these headers, as most are. */
-export const NOTHING_SAID: AnswerNotice = { rateLimit: 'none', isLeaving: false };
+export const EMPTY_NOTICE: ResponseNotice = { rateLimit: 'none', isLeaving: false };
 
 const DECIMAL = /^(?:\d+\.?\d*|\.\d+)$/;
 const LEAVING_VALUE = '1';
 
-export function answerNotice(rateLimit: HeaderValue, leaving: HeaderValue): AnswerNotice {
-  if (rateLimit === undefined && leaving === undefined) return NOTHING_SAID;
+export function parseNotice(rateLimit: HeaderValue, leaving: HeaderValue): ResponseNotice {
+  if (rateLimit === undefined && leaving === undefined) return EMPTY_NOTICE;
   return { rateLimit: parseRateLimit(rateLimit), isLeaving: headerValues(leaving).includes(LEAVING_VALUE) };
 }
 
 /** Whether a number is a valid rate; 0 is valid. */
-export function isRate(number: number): boolean {
+export function isValidRate(number: number): boolean {
   return Number.isFinite(number) && number >= 0;
 }
 
 /** Of several limits, the lowest applies, since it satisfies all of them. */
-function parseRateLimit(header: HeaderValue): AnswerNotice['rateLimit'] {
+function parseRateLimit(header: HeaderValue): ResponseNotice['rateLimit'] {
   if (header === undefined) return 'none';
   const rates = headerValues(header)
     .filter(text => DECIMAL.test(text))
     .map(Number)
-    .filter(isRate);
+    .filter(isValidRate);
   return rates.length === 0 ? 'unclear' : Math.min(...rates);
 }
 
--- a/packages/calls/src/answers.ts
+++ b/packages/calls/src/responses.ts
@@ -12,13 +12,13 @@
 export const MAX_RECORDED_BYTES = 1_048_576;
 
 /** A complete response that is stored for replay. */
-export interface RecordedAnswer {
+export interface RecordedResponse {
   readonly head: AnswerHead;
   readonly body: Buffer;
 }
 
 /** Computes length and CRC-32 of a body. */
-export class BodyCheck {
+export class BodyChecksum {
   private length = 0;
   private crc = 0;
 
@@ -35,7 +35,7 @@
   }
 
   /** Whether the sender computed the same values. */
-  agrees(end: { length: number; crc32: number }): boolean {
+  matches(end: { length: number; crc32: number }): boolean {
     return end.length === this.length && end.crc32 === this.crc;
   }
 }
@@ -57,20 +57,20 @@
 }
 
 /** Splits a response into parts; a small one is a single part. `finish` is called for the last part. */
-export function toAnswer(
+export function toCallResponse(
   head: AnswerHead,
   start: Buffer,
   rest: AsyncIterable<Buffer> | undefined,
   finish: () => { load: Load; unusedRetryTokens: number },
 ): CallResponse {
-  const checksum = new BodyCheck();
+  const checksum = new BodyChecksum();
   checksum.add(start);
   if (!rest) return singlePartResponse(createPart({ head, body: start, end: checksum.end, ...finish() }));
   return { first: createPart({ head, body: start }), rest: splitBody(checksum, rest, finish) };
 }
 
 async function* splitBody(
-  checksum: BodyCheck,
+  checksum: BodyChecksum,
   body: AsyncIterable<Buffer>,
   finish: () => { load: Load; unusedRetryTokens: number },
 ): AsyncGenerator<AnswerPart> {
@@ -89,31 +89,31 @@
 }
 
 /** A stored response as a single part. */
-export function replay({ head, body }: RecordedAnswer): AnswerPart {
-  const checksum = new BodyCheck();
+export function replay({ head, body }: RecordedResponse): AnswerPart {
+  const checksum = new BodyChecksum();
   checksum.add(body);
   return createPart({ head, body, end: checksum.end, load: noLoad() });
 }
 
 /** Collects the parts of a response until it is complete and verified. */
-export class AnswerRecorder {
+export class ResponseRecorder {
   private head: AnswerHead | undefined;
   private chunks: Buffer[] = [];
   private bytes = 0;
-  private readonly checksum = new BodyCheck();
+  private readonly checksum = new BodyChecksum();
 
   /**
    * Returns the response when its last part is added; undefined before that, for refusals, and for responses that are too
    * large to store or do not match their checksum.
    */
-  add(part: AnswerPart): RecordedAnswer | undefined {
+  add(part: AnswerPart): RecordedResponse | undefined {
     this.head ??= part.head;
     this.checksum.add(part.body);
     this.bytes += part.body.length;
     if (this.bytes <= MAX_RECORDED_BYTES) this.chunks.push(part.body);
     else this.chunks = [];
     const isComplete =
-      part.end !== undefined && this.checksum.agrees(part.end) && this.bytes <= MAX_RECORDED_BYTES;
+      part.end !== undefined && this.checksum.matches(part.end) && this.bytes <= MAX_RECORDED_BYTES;
     return isComplete && this.head ? { head: this.head, body: Buffer.concat(this.chunks) } : undefined;
   }
 }
--- a/packages/calls/src/upstreamConnections.ts
+++ b/packages/calls/src/upstreamConnections.ts
@@ -4,9 +4,9 @@
 import { type Socket } from 'node:net';
 import { Readable } from 'node:stream';
 import { type Dispatcher, Pool, buildConnector } from 'undici';
-import { PART_BYTES } from './answers.js';
+import { PART_BYTES } from './responses.js';
 import { type CallBody } from './callHandler.js';
-import { AsyncQueue } from './linkParts.js';
+import { AsyncQueue } from './flowControl.js';
 
 /** An upstream on the same VM that takes longer to accept a connection is considered down. */
 const CONNECT_TIMEOUT_MS = 500;
@@ -28,13 +28,13 @@
   readonly body: CallBody | undefined;
   readonly idempotent: boolean;
   /** Whether a response with these headers belongs to this request; if not, its connection is closed. */
-  readonly isOwnAnswer: (status: number, headers: IncomingHttpHeaders) => boolean;
+  readonly isOwnResponse: (status: number, headers: IncomingHttpHeaders) => boolean;
   /** Called with the headers of such a response as soon as they arrive, before the body. */
-  readonly onOwnAnswer: (status: number, headers: IncomingHttpHeaders) => void;
+  readonly onOwnResponse: (status: number, headers: IncomingHttpHeaders) => void;
 }
 
 /** A response, or its beginning. Reading the rest throws if the upstream's response is truncated. */
-export interface UpstreamAnswer {
+export interface UpstreamResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   /** The complete body of a small response, about the first 64 KiB of a larger one. */
@@ -42,11 +42,11 @@
   /** The remaining body; undefined if `start` is complete. */
   readonly rest: AsyncIterable<Buffer> | undefined;
   /** The response is close-delimited: only the end of its connection marks its end (RFC 9112, section 6.3). */
-  readonly isUnframed: boolean;
+  readonly isCloseDelimited: boolean;
 }
 
 /** The response on the connection belongs to another request. The upstream may have run this one nevertheless. */
-export class MisplacedAnswer extends Error {}
+export class ResponseMismatch extends Error {}
 
 /** Connection pools of one upstream: one that reuses connections, and one that opens a new connection for each request. */
 export class UpstreamConnections implements AsyncDisposable {
@@ -68,12 +68,12 @@
   }
 
   /** Sends a request; resolves when the response is complete, or has become too large for a single part. */
-  ask(request: UpstreamRequest, signal: CancelSignal): Promise<UpstreamAnswer> {
+  send(request: UpstreamRequest, signal: CancelSignal): Promise<UpstreamResponse> {
     const isReuseUnsafe = this.clock.now() < this.noReuseUntil;
     const pool = !request.idempotent && isReuseUnsafe ? this.singleUsePool : this.keepAlivePool;
     return new Promise((resolve, reject) => {
-      const settle = (response: UpstreamAnswer) => {
-        this.hasDelimitedResponses ||= !response.isUnframed;
+      const settle = (response: UpstreamResponse) => {
+        this.hasDelimitedResponses ||= !response.isCloseDelimited;
         resolve(response);
       };
       const exchange = new Exchange(
@@ -96,12 +96,12 @@
   }
 
   /** Whether the upstream has sent a response that is not close-delimited; a later close-delimited one is probably truncated. */
-  get framesAnswers(): boolean {
+  get delimitsResponses(): boolean {
     return this.hasDelimitedResponses;
   }
 
   /** Called after a mismatched response or a failed connection: stops the reuse of connections for non-idempotent requests for a while. */
-  distrust(): void {
+  suspendReuse(): void {
     this.noReuseUntil = this.clock.now() + NO_REUSE_MS;
   }
 
@@ -136,7 +136,7 @@
   constructor(
     private readonly request: UpstreamRequest,
     private readonly signal: CancelSignal,
-    private readonly settle: { resolve: (value: UpstreamAnswer) => void; reject: (error: unknown) => void },
+    private readonly settle: { resolve: (value: UpstreamResponse) => void; reject: (error: unknown) => void },
     private readonly connectionErrors: () => number,
   ) {
     signal.addEventListener('abort', this.onAbort, { once: true });
@@ -153,11 +153,11 @@
     headers: IncomingHttpHeaders,
   ): void {
     if (status < 200) return;
-    if (!this.request.isOwnAnswer(status, headers)) {
-      controller.abort(new MisplacedAnswer('The response on the connection belongs to another request.'));
+    if (!this.request.isOwnResponse(status, headers)) {
+      controller.abort(new ResponseMismatch('The response on the connection belongs to another request.'));
       return;
     }
-    this.request.onOwnAnswer(status, headers);
+    this.request.onOwnResponse(status, headers);
     if (isCloseDelimited(this.request.method, status, headers)) this.errorsAtHead = this.connectionErrors();
     this.status = status;
     this.headers = headers;
@@ -208,14 +208,14 @@
     this.settle.resolve(this.createResponse(this.readRest(this.restQueue)));
   }
 
-  private createResponse(rest?: AsyncIterable<Buffer>): UpstreamAnswer {
+  private createResponse(rest?: AsyncIterable<Buffer>): UpstreamResponse {
     const start =
       this.startChunks.length === 1 && this.startChunks[0]
         ? this.startChunks[0]
         : Buffer.concat(this.startChunks);
     this.startChunks = [];
     const isUnframed = this.errorsAtHead !== undefined;
-    return { status: this.status, headers: this.headers, start, rest, isUnframed };
+    return { status: this.status, headers: this.headers, start, rest, isCloseDelimited: isUnframed };
   }
 
   private async *readRest(rest: AsyncQueue<Buffer | 'end'>): AsyncGenerator<Buffer> {
--- a/packages/calls/src/upstreamDialect.ts
+++ b/packages/calls/src/upstreamDialect.ts
@@ -1,34 +1,34 @@
 /** The header names and status codes that a daemon and its upstream use, which differ between platforms. */
 import { type CallContext } from '@cleatquay/protocol';
 import { type IncomingHttpHeaders } from 'node:http';
-import { type AnswerNotice, answerNotice } from './answerNotice.js';
-import { OWN_HEADERS, headerNames } from './headers.js';
+import { type ResponseNotice, parseNotice } from './responseNotice.js';
+import { STRIPPED_HEADERS, headerNames } from './headers.js';
 
 /**
  * What a response of an upstream means for the request: it ran, it was not run, or another instance now responds at the
  * address, which has not run it either.
  */
-export type AnswerMeaning = 'answer' | 'not-run' | 'other-instance';
+export type ResponseMeaning = 'answer' | 'not-run' | 'other-instance';
 
 export interface UpstreamDialect {
   /** Headers that the daemon adds to those of the caller, as alternating names and values. */
   readonly requestHeaders: (context: CallContext, instanceId: string) => string[];
   /** Response headers that are not forwarded; lower case. */
-  readonly dropped: ReadonlySet<string>;
+  readonly strippedHeaders: ReadonlySet<string>;
   /** Whether a response with these headers belongs to the request. */
-  readonly isOwnAnswer: (status: number, headers: IncomingHttpHeaders, context: CallContext) => boolean;
+  readonly isOwnResponse: (status: number, headers: IncomingHttpHeaders, context: CallContext) => boolean;
   /** The instance id in a response to a health check; undefined if there is none. */
   readonly instanceOf: (headers: IncomingHttpHeaders) => string | undefined;
   /** Whether the upstream ran the request or reports that it did not. */
-  readonly meaningOf: (status: number, headers: IncomingHttpHeaders) => AnswerMeaning;
+  readonly meaningOf: (status: number, headers: IncomingHttpHeaders) => ResponseMeaning;
   /** What a response reports of the upstream itself. */
-  readonly noticeOf: (headers: IncomingHttpHeaders) => AnswerNotice;
+  readonly noticeOf: (headers: IncomingHttpHeaders) => ResponseNotice;
 }
 
 const SHED_STATUSES = [429, 503];
 
 /** The dialect of cleatquay's own headers. */
-export const ownDialect: UpstreamDialect = {
+export const defaultDialect: UpstreamDialect = {
   requestHeaders: ({ requestId, remainingMs, organisation }) => [
     headerNames.requestId,
     requestId,
@@ -36,10 +36,10 @@
     String(remainingMs),
     ...(organisation === '' ? [] : [headerNames.organisation, organisation]),
   ],
-  dropped: OWN_HEADERS,
-  isOwnAnswer: () => true,
+  strippedHeaders: STRIPPED_HEADERS,
+  isOwnResponse: () => true,
   instanceOf: () => undefined,
   meaningOf: (status, headers) =>
     SHED_STATUSES.includes(status) && headers[headerNames.notRun] !== undefined ? 'not-run' : 'answer',
-  noticeOf: headers => answerNotice(headers[headerNames.rateLimit], headers[headerNames.leaving]),
+  noticeOf: headers => parseNotice(headers[headerNames.rateLimit], headers[headerNames.leaving]),
 };
--- a/packages/calls/src/upstreamDispatcher.ts
+++ b/packages/calls/src/upstreamDispatcher.ts
@@ -24,15 +24,15 @@
   refusalOf,
 } from '@cleatquay/protocol';
 import { Isolation, type Quarantine, type Standing } from '@cleatquay/quarantine';
-import { toAnswer } from './answers.js';
+import { toCallResponse } from './responses.js';
 import { type CallResponse, type CallBody, type CallRoute, singlePartResponse } from './callHandler.js';
-import { headerList, passedHeaders } from './headers.js';
+import { parseHeaderBlock, forwardedHeaders } from './headers.js';
 import { quarantineRefusal } from './quarantineRefusal.js';
 import { type DecisionTrace } from './decisionTrace.js';
 import { type LocalUpstream } from './localUpstream.js';
 import { RunningCall, type RunningCalls } from './runningCalls.js';
 import { type AttemptRegistry } from './attemptRegistry.js';
-import { MisplacedAnswer, type UpstreamAnswer } from './upstreamConnections.js';
+import { ResponseMismatch, type UpstreamResponse } from './upstreamConnections.js';
 import { type UpstreamCrash, type CrashDetector, receivedFingerprint } from './crashDetector.js';
 import { type UpstreamDialect } from './upstreamDialect.js';
 
@@ -254,20 +254,20 @@
   private ask(
     { head, context, route, upstream, body }: AdmittedCall,
     signal: CancelSignal,
-  ): Promise<UpstreamAnswer> {
+  ): Promise<UpstreamResponse> {
     const { dialect, clock } = this.options;
     const sentAt = clock.awake();
     const mayHaveBody = head.method !== 'GET' && head.method !== 'HEAD';
     const isEmpty = Buffer.isBuffer(body) && body.length === 0;
-    return upstream.connections.ask(
+    return upstream.connections.send(
       {
         method: head.method,
         path: head.path,
-        headers: [...headerList(head.headers), ...dialect.requestHeaders(context, upstream.instanceId)],
+        headers: [...parseHeaderBlock(head.headers), ...dialect.requestHeaders(context, upstream.instanceId)],
         body: mayHaveBody && !isEmpty ? body : undefined,
         idempotent: route.idempotent,
-        isOwnAnswer: (status, headers) => dialect.isOwnAnswer(status, headers, context),
-        onOwnAnswer: (status, headers) => {
+        isOwnResponse: (status, headers) => dialect.isOwnResponse(status, headers, context),
+        onOwnResponse: (status, headers) => {
           if (dialect.meaningOf(status, headers) !== 'other-instance')
             upstream.onNotice(dialect.noticeOf(headers), sentAt);
         },
@@ -279,7 +279,7 @@
   private toResponse(
     admitted: AdmittedCall,
     call: RunningCall,
-    upstreamResponse: UpstreamAnswer,
+    upstreamResponse: UpstreamResponse,
   ): CallResponse {
     const { attempts: tries, dialect } = this.options;
     const { context, route, upstream, permit } = admitted;
@@ -291,7 +291,7 @@
       const shed = refusalOf('shedByUpstream', 'The upstream did not run the request.', SHED_DETAILS);
       return singlePartResponse(endOf(shed, call.retryTokens, this.load(upstream, route, context)));
     }
-    if (upstreamResponse.isUnframed && route.idempotent && upstream.connections.framesAnswers) {
+    if (upstreamResponse.isCloseDelimited && route.idempotent && upstream.connections.delimitsResponses) {
       permit.release('failed');
       const text =
         'The response is close-delimited, though the upstream otherwise sends lengths, so that it may be truncated.';
@@ -299,11 +299,11 @@
       return singlePartResponse(endOf(truncated, call.retryTokens, this.load(upstream, route, context)));
     }
     const responseHead = {
-      unframed: upstreamResponse.isUnframed,
+      unframed: upstreamResponse.isCloseDelimited,
       status: upstreamResponse.status,
-      headers: passedHeaders(upstreamResponse.headers, dialect.dropped),
+      headers: forwardedHeaders(upstreamResponse.headers, dialect.strippedHeaders),
     };
-    const response = toAnswer(responseHead, upstreamResponse.start, upstreamResponse.rest, () => {
+    const response = toCallResponse(responseHead, upstreamResponse.start, upstreamResponse.rest, () => {
       permit.release(OVERLOAD_STATUSES.includes(upstreamResponse.status) ? 'shed' : 'answered');
       return { load: this.load(upstream, route, context), unusedRetryTokens: call.retryTokens };
     });
@@ -346,13 +346,13 @@
       return refusalOf('unreachable', 'The upstream refused the connection.', { elsewhereHelps: true });
     }
     const isGivenUp = signal.aborted;
-    if (!isGivenUp) upstream.connections.distrust();
+    if (!isGivenUp) upstream.connections.suspendReuse();
     const result: ResultName = isGivenUp ? 'deadlinePassed' : 'upstreamBroke';
     const { journal } = this.options;
     journal.record(context.requestId, 'The upstream sent no complete response.', {
       why: message ?? 'unknown',
     });
-    const isMisplaced = error instanceof MisplacedAnswer;
+    const isMisplaced = error instanceof ResponseMismatch;
     const end = isGivenUp || isMisplaced ? undefined : await this.options.ends.checkForCrash(upstream);
     if (end) this.recordCrash(context.requestId, end, admitted);
     journal.requestEnded(context.requestId, true);
--- a/packages/daemon/src/callerAnswer.ts
+++ b/packages/daemon/src/callerAnswer.ts
@@ -3,11 +3,11 @@
   type CallResponse,
   type CallerRequest,
   headerNames,
-  headerList,
-  CREDENTIALS,
-  OWN_HEADERS,
-  OWN_HEADERS_WITH_KEYS,
-  passedRawHeaders,
+  parseHeaderBlock,
+  AUTHORIZATION_HEADER,
+  STRIPPED_HEADERS,
+  STRIPPED_HEADERS_WITH_AUTHORIZATION,
+  forwardedRawHeaders,
 } from '@cleatquay/calls';
 import { credentialsIn } from '@cleatquay/organisations';
 import { Failure, resultByCode, resultCodes } from '@cleatquay/errors';
@@ -35,8 +35,11 @@
     service,
     method: request.method ?? 'GET',
     path: rest.startsWith('/') ? rest : `/${rest}`,
-    headers: passedRawHeaders(request.rawHeaders, needsKeys ? OWN_HEADERS_WITH_KEYS : OWN_HEADERS),
-    credentials: needsKeys ? credentialsIn(request.rawHeaders, CREDENTIALS) : 'none',
+    headers: forwardedRawHeaders(
+      request.rawHeaders,
+      needsKeys ? STRIPPED_HEADERS_WITH_AUTHORIZATION : STRIPPED_HEADERS,
+    ),
+    credentials: needsKeys ? credentialsIn(request.rawHeaders, AUTHORIZATION_HEADER) : 'none',
     requestId: headerValue(request, headerNames.requestId),
     idempotencyKey: headerValue(request, headerNames.idempotencyKey),
     parent: headerValue(request, headerNames.parent),
@@ -124,7 +127,7 @@
   length: number | undefined,
   writer: ResponseWriter,
 ): void {
-  const list = [...headerList(headers), ...writer.headers(status, response.req)];
+  const list = [...parseHeaderBlock(headers), ...writer.headers(status, response.req)];
   if (unframed) delimitByConnectionClose(response);
   else if (length !== undefined) list.push('content-length', String(length));
   response.writeHead(status, list);
--- a/packages/daemon/src/callerGateway.ts
+++ b/packages/daemon/src/callerGateway.ts
@@ -4,7 +4,7 @@
   type CallerRequest,
   EMPTY_BODY,
   type Ingress,
-  type WorkTurns,
+  type RequestScheduler,
   headerNames,
 } from '@cleatquay/calls';
 import { asFailure } from '@cleatquay/errors';
@@ -33,7 +33,7 @@
   readonly needsKeys: () => boolean;
   /** How far the shutdown of the daemon has got; undefined while it runs. */
   readonly shutdownPhase: () => 'announced' | 'refusing' | undefined;
-  readonly scheduler: WorkTurns;
+  readonly scheduler: RequestScheduler;
   /** Counts requests in flight, so that a shutdown can wait for them. */
   readonly trackInFlight: <T>(work: Promise<T>) => Promise<T>;
 }
@@ -45,7 +45,7 @@
     const recordEnd = options.metrics.requestStarted();
     const shutdownPhase = options.shutdownPhase();
     if (shutdownPhase) response.setHeader('connection', 'close');
-    await options.scheduler.take();
+    await options.scheduler.acquire();
     if (disconnect.aborted) return recordEnd('', DISCONNECT_REFUSAL);
     try {
       const onRequestId = (id: string) => void response.setHeader(headerNames.requestId, id);
--- a/packages/daemon/src/core.ts
+++ b/packages/daemon/src/core.ts
@@ -1,13 +1,13 @@
 /** What every daemon has, whichever protocol its callers use: membership, the peer protocol and the local upstreams. */
 import {
-  type AnswerNotice,
+  type ResponseNotice,
   type CallResponse,
   type CallBody,
   type CallHandler,
   type CallRoute,
-  type Contact,
+  type Reachability,
   Forwarder,
-  InnerServer,
+  PeerServer,
   DecisionTrace,
   Peers,
   type RetryBudget,
@@ -17,7 +17,7 @@
   type UpstreamCrash,
   CrashDetector,
   UpstreamDispatcher,
-  type WorkTurns,
+  type RequestScheduler,
 } from '@cleatquay/calls';
 import { type CancelSignal, type Clock, type Random } from '@cleatquay/clock';
 import { Quarantine, type QuarantineTable } from '@cleatquay/quarantine';
@@ -88,7 +88,7 @@
   /** Whether traffic to and from the address is dropped (fault hook). */
   readonly isPartitioned: (address: string) => boolean;
   /** Bounds the request starts per event loop iteration; shared with the caller API. */
-  readonly scheduler: WorkTurns;
+  readonly scheduler: RequestScheduler;
   /** Persists the quarantine's state. */
   readonly quarantineTable: QuarantineTable;
   /** Service of the local upstream; empty for any. */
@@ -124,7 +124,7 @@
 
   private constructor(
     private readonly options: CoreOptions,
-    private readonly peerServer: InnerServer,
+    private readonly peerServer: PeerServer,
     private readonly datagrams: UdpDatagrams,
     /** ip:port of the peer protocol; identifies the daemon. */
     readonly self: string,
@@ -222,12 +222,12 @@
     const { ip, innerPort, gossipPort } = options.settings;
     const datagrams = await UdpDatagrams.bind(ip, gossipPort);
     const started: { core?: DaemonCore } = {};
-    const server = new InnerServer({
+    const server = new PeerServer({
       clock: options.clock,
       exchange: (head, body, signal) => requireCore(started).exchange(head, body, signal),
       seal: request => requireCore(started).upstreamDispatcher.seal(request),
       configuration: options.answerConfiguration,
-      turns: options.scheduler,
+      scheduler: options.scheduler,
     });
     const port = await server.listen(ip, innerPort);
     started.core = new DaemonCore(options, server, datagrams, `${ip}:${String(port)}`);
@@ -259,15 +259,15 @@
       : this.upstreamDispatcher.handle(head, body, signal);
   }
 
-  private async queryNotice(service: string, address: string): Promise<AnswerNotice | undefined> {
+  private async queryNotice(service: string, address: string): Promise<ResponseNotice | undefined> {
     const path = this.options.healthPath(service);
     if (path === undefined) return undefined;
     return this.options.dialect.noticeOf((await askHealth(address, path)).headers);
   }
 
-  private reachabilityOf({ address, failureDomain }: Candidate): Contact {
+  private reachabilityOf({ address, failureDomain }: Candidate): Reachability {
     if (address === this.self) return 'good';
-    const reachability = this.peers.contact(address);
+    const reachability = this.peers.reachabilityOf(address);
     if (reachability !== 'good' || failureDomain === this.options.settings.failureDomain) return reachability;
     return this.isPartitionedFrom(failureDomain) ? 'silent' : 'good';
   }
@@ -278,7 +278,7 @@
     const cached = this.partitionChecks.get(failureDomain);
     if (cached && now - cached.at < PARTITION_CACHE_MS) return cached.isPartitioned;
     const members = [...this.membership.table.all()].filter(m => m.failureDomain === failureDomain);
-    const isPartitioned = this.peers.areCutOff(members.map(m => m.address));
+    const isPartitioned = this.peers.arePartitioned(members.map(m => m.address));
     this.partitionChecks.set(failureDomain, { at: now, isPartitioned });
     return isPartitioned;
   }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -4,10 +4,10 @@
   IdempotencyKeys,
   Ingress,
   RequestDeduplicator,
-  RequestIds,
+  RequestIdIssuer,
   TokenBucketRetryBudget,
-  ownDialect,
-  WorkTurns,
+  defaultDialect,
+  RequestScheduler,
 } from '@cleatquay/calls';
 import { type Clock, type Random } from '@cleatquay/clock';
 import {
@@ -69,7 +69,7 @@
   private readonly configurationLog: Logger;
   private readonly home: RequestDeduplicator;
   private readonly broker: ServiceBroker;
-  private readonly scheduler: WorkTurns;
+  private readonly scheduler: RequestScheduler;
   private readonly inFlight = new Set<Promise<unknown>>();
   private readonly store: HttpStore | undefined;
   /** Set once the daemon listens for its peers. */
@@ -95,7 +95,7 @@
     this.home = new RequestDeduplicator(clock);
     this.store = settings.platform === undefined ? undefined : new HttpStore(settings.platform);
     this.broker = createBroker();
-    this.scheduler = new WorkTurns(clock, () => false);
+    this.scheduler = new RequestScheduler(clock, () => false);
   }
 
   /** Starts a daemon, which serves requests once the promise resolves. */
@@ -170,7 +170,7 @@
         onDeparture: () => undefined,
       },
       healthPath: () => undefined,
-      dialect: ownDialect,
+      dialect: defaultDialect,
       retries: new TokenBucketRetryBudget(),
       freeReroutes: 0,
       signalsEnforceDeadline: false,
@@ -212,7 +212,7 @@
       peers: core.peers,
       directory: core.directory,
       deduplicator: home,
-      ids: new RequestIds(clock, core.self, epoch),
+      ids: new RequestIdIssuer(clock, core.self, epoch),
       idempotencyKeys: new IdempotencyKeys(clock, this.store),
       running: core.running,
       journal: core.decisionTrace,
--- a/packages/daemon/src/noticeLog.ts
+++ b/packages/daemon/src/noticeLog.ts
@@ -1,5 +1,5 @@
 /** Logs changes in what an upstream reports of itself in its response headers. */
-import { type AnswerNotice, NOTHING_SAID } from '@cleatquay/calls';
+import { type ResponseNotice, EMPTY_NOTICE } from '@cleatquay/calls';
 import { type Clock } from '@cleatquay/clock';
 import { Failure } from '@cleatquay/errors';
 
@@ -8,7 +8,7 @@
 
 /** Tracks the responses of one start of an upstream. */
 export class NoticeLog {
-  private lastNotice: AnswerNotice = NOTHING_SAID;
+  private lastNotice: ResponseNotice = EMPTY_NOTICE;
   private lastLoggedAt = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -17,7 +17,7 @@
   ) {}
 
   /** Logs the notice of a response if it differs from the last one logged. */
-  update(notice: AnswerNotice, facts: object): void {
+  update(notice: ResponseNotice, facts: object): void {
     const { rateLimit, isLeaving } = this.lastNotice;
     if (notice.rateLimit === rateLimit && notice.isLeaving === isLeaving) return;
     const now = this.clock.now();
@@ -29,7 +29,7 @@
     if (notice.rateLimit !== rateLimit) this.logRateLimit(notice.rateLimit, { ...facts, before: rateLimit });
   }
 
-  private logRateLimit(rateLimit: AnswerNotice['rateLimit'], facts: object): void {
+  private logRateLimit(rateLimit: ResponseNotice['rateLimit'], facts: object): void {
     if (rateLimit === 'none') return this.log('An upstream no longer reports a rate limit.', facts);
     if (rateLimit !== 'unclear')
       return this.log('An upstream reports a rate limit.', { ...facts, requestsPerSecond: rateLimit });
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -5,7 +5,7 @@
   LearnedCalls,
   Relay,
   type UpstreamDialect,
-  WorkTurns,
+  RequestScheduler,
   singlePartResponse,
   routeFromHead,
 } from '@cleatquay/calls';
@@ -95,7 +95,7 @@
   private readonly gateway: RelayGateway;
   private readonly learnedCalls: LearnedCalls;
   readonly pressure: ProcessorPressure;
-  private readonly scheduler: WorkTurns;
+  private readonly scheduler: RequestScheduler;
   /** Set once the daemon listens for its peers. */
   private core!: DaemonCore;
   private ingress!: Relay;
@@ -128,7 +128,7 @@
       () => this.scheduler.waitMs(),
       (lagMs, isLagging) => pressureLog.sampled(lagMs, isLagging),
     );
-    this.scheduler = new WorkTurns(clock, () => this.pressure.isLagging);
+    this.scheduler = new RequestScheduler(clock, () => this.pressure.isLagging);
     this.configuration = new Configuration(
       clock,
       sections => new HostRoutes(adapter.plan(sections), random, this.configuration.inForce),
--- a/packages/daemon/src/relayGateway.ts
+++ b/packages/daemon/src/relayGateway.ts
@@ -4,8 +4,8 @@
   EMPTY_BODY,
   type Relay,
   type RelayedRequest,
-  type WorkTurns,
-  passedRawHeaders,
+  type RequestScheduler,
+  forwardedRawHeaders,
 } from '@cleatquay/calls';
 import { Failure, asFailure } from '@cleatquay/errors';
 import { type Refusal, refusalOf } from '@cleatquay/protocol';
@@ -53,7 +53,7 @@
   /** Whether requests have to carry an API key. */
   readonly needsKeys: () => boolean;
   readonly isShuttingDown: () => boolean;
-  readonly scheduler: WorkTurns;
+  readonly scheduler: RequestScheduler;
   /** Called at the start of each request; the function that it returns is called when the request has ended. */
   readonly onRequestStart: () => (refusal: Refusal | undefined) => void;
 }
@@ -99,7 +99,7 @@
     response.on('close', () => onRequestEnd(response.writableFinished ? refusal : DISCONNECT_REFUSAL));
     if (isShuttingDown()) response.setHeader('connection', 'close');
     try {
-      const wait = scheduler.take();
+      const wait = scheduler.acquire();
       const waitedMs = wait ? await wait : 0;
       if (disconnect.aborted) return;
       const callResponse = await ingress.handle(
@@ -129,7 +129,7 @@
       host: request.headers.host ?? '',
       method: request.method ?? 'GET',
       path: request.url ?? '/',
-      headers: passedRawHeaders(request.rawHeaders, this.consumedHeaders()),
+      headers: forwardedRawHeaders(request.rawHeaders, this.consumedHeaders()),
       credentials: this.credentialsOf(request),
       requestId,
       remainingMs: remainingMs === undefined ? undefined : remainingMs - waitedMs,
--- a/packages/daemon/src/slowRates.ts
+++ b/packages/daemon/src/slowRates.ts
@@ -3,7 +3,7 @@
  * responses, and at a limit of 0 it would get no request to respond to.
  */
 import { type RateLimit } from '@cleatquay/admission';
-import { type AnswerNotice } from '@cleatquay/calls';
+import { type ResponseNotice } from '@cleatquay/calls';
 import { type Clock } from '@cleatquay/clock';
 
 /** Time between probes, ms. */
@@ -18,7 +18,7 @@
   /** Whether the upstream is still registered at this daemon. */
   readonly isRegistered: () => boolean;
   /** Returns the notice of the upstream's health check; undefined if it has none. Rejects if there is no response. */
-  readonly fetchNotice: () => Promise<AnswerNotice | undefined>;
+  readonly fetchNotice: () => Promise<ResponseNotice | undefined>;
 }
 
 /** Probes one upstream for as long as its rate limit is low. */
--- a/packages/daemon/src/upstreams.ts
+++ b/packages/daemon/src/upstreams.ts
@@ -1,6 +1,6 @@
 /** Registry of the upstreams that announced themselves to this daemon. */
 import { Admission, RouteCosts } from '@cleatquay/admission';
-import { type AnswerNotice, type LocalUpstream, UpstreamConnections, isRate } from '@cleatquay/calls';
+import { type ResponseNotice, type LocalUpstream, UpstreamConnections, isValidRate } from '@cleatquay/calls';
 import { type Clock, type Random, type Timer } from '@cleatquay/clock';
 import { type Departure, type KnownUpstream } from '@cleatquay/membership';
 import { type Upstream, type UpstreamNotice } from '@cleatquay/protocol';
@@ -53,7 +53,7 @@
   /** Rejects for an announced address that this daemon must not use for an upstream. */
   readonly checkAddress: (address: string) => Promise<void>;
   /** Returns the notice of an upstream's health check; undefined if it has none. */
-  readonly askNotice: (service: string, address: string) => Promise<AnswerNotice | undefined>;
+  readonly askNotice: (service: string, address: string) => Promise<ResponseNotice | undefined>;
   /** Called when a start becomes known to be shutting down, other than by an announcement. */
   readonly onDeparture: () => void;
   /** Called when the list that is published to the fleet has changed. */
@@ -214,7 +214,7 @@
   told(service: string, { instanceId, born, requestsPerSecond, isLeaving }: UpstreamNotice): void {
     if (isLeaving && instanceId !== '' && Number.isSafeInteger(born))
       this.reportDeparture({ instanceId, born });
-    if (requestsPerSecond === undefined || !isRate(requestsPerSecond)) return;
+    if (requestsPerSecond === undefined || !isValidRate(requestsPerSecond)) return;
     const upstream = this.byService.get(service);
     if (!upstream) return;
     const { rate } = upstream.admission;
@@ -291,7 +291,7 @@
     this.notifyChange();
   }
 
-  private handleNotice(upstream: RegisteredUpstream, notice: AnswerNotice, askedAt: number): void {
+  private handleNotice(upstream: RegisteredUpstream, notice: ResponseNotice, askedAt: number): void {
     const { service, instanceId } = upstream.announcement;
     const { rateLimit } = notice;
     const { rate } = upstream.admission;
--- a/tests/answerCheck.spec.ts
+++ b/tests/bodyChecksum.spec.ts
@@ -1,4 +1,4 @@
-import { BodyCheck } from '@cleatquay/calls';
+import { BodyChecksum } from '@cleatquay/calls';
 import { expect } from 'chai';
 import fc from 'fast-check';
 
@@ -9,9 +9,9 @@
   it('does not depend on how the body is split into chunks, empty ones included', () => {
     fc.assert(
       fc.property(fc.array(fc.oneof(fc.uint8Array({ maxLength: 20 }), EMPTY_CHUNK)), chunks => {
-        const chunked = new BodyCheck();
+        const chunked = new BodyChecksum();
         for (const chunk of chunks) chunked.add(chunk);
-        const whole = new BodyCheck();
+        const whole = new BodyChecksum();
         whole.add(Buffer.concat(chunks));
         expect(chunked.end).to.deep.equal(whole.end);
       }),
--- a/tests/departedCallers.spec.ts
+++ b/tests/departedCallers.spec.ts
@@ -16,7 +16,7 @@
  * the likelier cause.
  */
 import { ProcessorPressure } from '@cleatquay/admission';
-import { WorkTurns, singlePartResponse } from '@cleatquay/calls';
+import { RequestScheduler, singlePartResponse } from '@cleatquay/calls';
 import { SystemClock } from '@cleatquay/clock';
 import { RelayGateway } from '@cleatquay/daemon';
 import { callerDialect } from '@cleatquay/platform';
@@ -87,7 +87,7 @@
         limits: () => undefined,
         needsKeys: () => false,
         isShuttingDown: () => false,
-        scheduler: new WorkTurns(clock, () => pressure.isLagging),
+        scheduler: new RequestScheduler(clock, () => pressure.isLagging),
         onRequestStart: () => () => undefined,
       });
       gateway.server.listen(0, '127.0.0.1');
--- a/tests/linkServer.spec.ts
+++ b/tests/linkServer.spec.ts
@@ -3,7 +3,7 @@
   EMPTY_ITEM,
   LinkServer,
   NO_HEAD,
-  WorkTurns,
+  RequestScheduler,
   singlePartResponse,
 } from '@cleatquay/calls';
 import { ManualClock, SystemClock } from '@cleatquay/clock';
@@ -66,7 +66,7 @@
       new LinkServer(socket as never, {
         clock,
         handle,
-        scheduler: new WorkTurns(clock, () => isLagging),
+        scheduler: new RequestScheduler(clock, () => isLagging),
         configuration: NO_CONFIGURATION,
       }),
     ).to.be.instanceOf(LinkServer);
@@ -92,7 +92,7 @@
     const server = new LinkServer(socket as never, {
       clock: manual,
       handle,
-      scheduler: new WorkTurns(manual, () => true),
+      scheduler: new RequestScheduler(manual, () => true),
       configuration: NO_CONFIGURATION,
     });
     server.receive(encodeFrame(REQUEST));
@@ -117,7 +117,7 @@
           started.push(context?.remainingMs);
           return Promise.resolve(singlePartResponse(endOf(refusalOf('overloaded', ''), 0)));
         },
-        scheduler: new WorkTurns(manual, () => false),
+        scheduler: new RequestScheduler(manual, () => false),
         configuration: NO_CONFIGURATION,
       });
       // The client's clock is 500 s ahead, and its first frame was in transit for 3 ms.
--- a/tests/organisationFile.spec.ts
+++ b/tests/organisationFile.spec.ts
@@ -1,6 +1,6 @@
 import { type Fleet } from '@cleatquay/bench';
 import { joinSections, splitSections } from '@cleatquay/configuration';
-import { ownDialect } from '@cleatquay/calls';
+import { defaultDialect } from '@cleatquay/calls';
 import { digestOfKey } from '@cleatquay/organisations';
 import { CallGraph, type OperatorFile, checkOperatorFile } from '@cleatquay/settings';
 import { expect } from 'chai';
@@ -65,7 +65,7 @@
 
   it('are passed to upstreams by name, and without a header if there is none', () => {
     const headers = (organisation: string) =>
-      ownDialect.requestHeaders({ ...CALL_CONTEXT, organisation }, '');
+      defaultDialect.requestHeaders({ ...CALL_CONTEXT, organisation }, '');
     expect(headers('dairy')).to.include.members(['cleatquay-organisation', 'dairy']);
     expect(headers('')).to.not.include('cleatquay-organisation');
   });
--- a/tests/heardNotices.spec.ts
+++ b/tests/peerNotices.spec.ts
@@ -1,4 +1,4 @@
-import { HeardNotices, replay } from '@cleatquay/calls';
+import { PeerNotices, replay } from '@cleatquay/calls';
 import { type UpstreamNotice, endOf, refusalOf } from '@cleatquay/protocol';
 import { type Candidate } from '@cleatquay/routing';
 import { expect } from 'chai';
@@ -10,34 +10,34 @@
 const REFUSAL = endOf(refusalOf('otherEpoch', 'The daemon was restarted.'), 0);
 
 describe("the last notice of another daemon's local upstream", () => {
-  let notices: HeardNotices;
+  let notices: PeerNotices;
 
   beforeEach(() => {
-    notices = new HeardNotices();
-    notices.heard('history', OLD, { ...ANSWER, notice: LIMITED });
+    notices = new PeerNotices();
+    notices.record('history', OLD, { ...ANSWER, notice: LIMITED });
   });
 
   it('is sent only to a new process of that daemon', () => {
-    expect(notices.toTell('history', OLD)).to.equal(undefined);
-    expect(notices.toTell('history', NEW)).to.equal(LIMITED);
-    expect(notices.toTell('alarms', NEW)).to.equal(undefined);
-    expect(notices.toTell('history', { ...NEW, address: '10.0.0.2:1' })).to.equal(undefined);
+    expect(notices.noticeFor('history', OLD)).to.equal(undefined);
+    expect(notices.noticeFor('history', NEW)).to.equal(LIMITED);
+    expect(notices.noticeFor('alarms', NEW)).to.equal(undefined);
+    expect(notices.noticeFor('history', { ...NEW, address: '10.0.0.2:1' })).to.equal(undefined);
   });
 
   it('is sent until that process reports a notice; a refusal alone does not count', () => {
-    notices.heard('history', NEW, REFUSAL);
-    expect(notices.toTell('history', NEW)).to.equal(LIMITED);
-    notices.heard('history', NEW, { ...REFUSAL, notice: LIMITED });
-    expect(notices.toTell('history', NEW)).to.equal(undefined);
+    notices.record('history', NEW, REFUSAL);
+    expect(notices.noticeFor('history', NEW)).to.equal(LIMITED);
+    notices.record('history', NEW, { ...REFUSAL, notice: LIMITED });
+    expect(notices.noticeFor('history', NEW)).to.equal(undefined);
   });
 
   it('is discarded on a response without a notice', () => {
-    notices.heard('history', OLD, ANSWER);
-    expect(notices.toTell('history', NEW)).to.equal(undefined);
+    notices.record('history', OLD, ANSWER);
+    expect(notices.noticeFor('history', NEW)).to.equal(undefined);
   });
 
   it('is discarded when the daemon is removed permanently', () => {
     notices.forget(OLD.address);
-    expect(notices.toTell('history', NEW)).to.equal(undefined);
+    expect(notices.noticeFor('history', NEW)).to.equal(undefined);
   });
 });
--- a/tests/rateLimit.spec.ts
+++ b/tests/rateLimit.spec.ts
@@ -1,5 +1,5 @@
 import { Admission, RateLimit } from '@cleatquay/admission';
-import { type AnswerNotice, NOTHING_SAID } from '@cleatquay/calls';
+import { type ResponseNotice, EMPTY_NOTICE } from '@cleatquay/calls';
 import { ManualClock, SystemClock } from '@cleatquay/clock';
 import { Upstreams } from '@cleatquay/daemon';
 import { expect } from 'chai';
@@ -9,7 +9,10 @@
 
 const WINDOW_MS = 4000;
 const HEARTBEAT_MS = 1500;
-const noticeWith = (rateLimit: AnswerNotice['rateLimit']): AnswerNotice => ({ ...NOTHING_SAID, rateLimit });
+const noticeWith = (rateLimit: ResponseNotice['rateLimit']): ResponseNotice => ({
+  ...EMPTY_NOTICE,
+  rateLimit,
+});
 
 describe('the rate limit of an upstream', () => {
   let clock: ManualClock;
@@ -153,7 +156,7 @@
   describe('of an upstream known to a daemon', () => {
     let upstreams: Upstreams;
     let healthChecks: number;
-    let healthNotice: AnswerNotice | undefined;
+    let healthNotice: ResponseNotice | undefined;
 
     beforeEach(async () => {
       healthChecks = 0;
@@ -193,7 +196,7 @@
         born,
       });
     const history = () => upstreams.get('history')!;
-    const respond = (rateLimit: AnswerNotice['rateLimit']) =>
+    const respond = (rateLimit: ResponseNotice['rateLimit']) =>
       history().onNotice(noticeWith(rateLimit), clock.awake());
     const perSecond = () => history().admission.rate.perSecond;
     const pass = async (ms: number) => {
--- a/tests/workTurns.spec.ts
+++ b/tests/requestScheduler.spec.ts
@@ -1,4 +1,4 @@
-import { WorkTurns } from '@cleatquay/calls';
+import { RequestScheduler } from '@cleatquay/calls';
 import { ManualClock } from '@cleatquay/clock';
 import { expect } from 'chai';
 
@@ -7,13 +7,13 @@
 describe('the request scheduler', () => {
   let clock: ManualClock;
   let isLagging: boolean;
-  let scheduler: WorkTurns;
+  let scheduler: RequestScheduler;
   let started: number[];
 
   beforeEach(() => {
     clock = new ManualClock();
     isLagging = false;
-    scheduler = new WorkTurns(clock, () => isLagging);
+    scheduler = new RequestScheduler(clock, () => isLagging);
     started = [];
   });
 
@@ -23,7 +23,7 @@
       started.push(request);
       clock.advance(costMs);
     };
-    const queued = scheduler.take();
+    const queued = scheduler.acquire();
     if (queued) void queued.then(start);
     else start();
   };
--- a/tests/answerNotice.spec.ts
+++ b/tests/responseNotice.spec.ts
@@ -1,4 +1,4 @@
-import { answerNotice } from '@cleatquay/calls';
+import { parseNotice } from '@cleatquay/calls';
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { type Answer, PlatformFleet, routeTo, until } from './fixtures/platformFleet.js';
@@ -12,22 +12,22 @@
       [' 7.50 ', 7.5],
     ] as const)
       it(`parses "${text}" as ${String(rate)} requests per second`, () =>
-        expect(answerNotice(text, undefined).rateLimit).to.equal(rate));
+        expect(parseNotice(text, undefined).rateLimit).to.equal(rate));
 
     for (const text of ['', '-3', 'many', 'NaN', 'Infinity', '1e308', '0x10', '1_000', '9'.repeat(400)])
       it(`is unclear for "${text.slice(0, 10)}"`, () =>
-        expect(answerNotice(text, undefined).rateLimit).to.equal('unclear'));
+        expect(parseNotice(text, undefined).rateLimit).to.equal('unclear'));
 
     it('is the lowest of several, sent as a list or as repeated headers', () => {
-      expect(answerNotice(['40', '12'], undefined).rateLimit).to.equal(12);
-      expect(answerNotice('40, 12', undefined).rateLimit).to.equal(12);
-      expect(answerNotice(['40', 'many'], undefined).rateLimit).to.equal(40);
+      expect(parseNotice(['40', '12'], undefined).rateLimit).to.equal(12);
+      expect(parseNotice('40, 12', undefined).rateLimit).to.equal(12);
+      expect(parseNotice(['40', 'many'], undefined).rateLimit).to.equal(40);
     });
 
     it('is a finite number or not a number, for any header value', () => {
       fc.assert(
         fc.property(fc.oneof(fc.string(), fc.array(fc.string()), fc.double().map(String)), header => {
-          const { rateLimit } = answerNotice(header, undefined);
+          const { rateLimit } = parseNotice(header, undefined);
           if (typeof rateLimit === 'number') expect(rateLimit).to.be.within(0, Number.MAX_VALUE);
         }),
       );
@@ -36,9 +36,9 @@
 
   describe('that the upstream is shutting down', () => {
     it('is recognised from the value "1" only', () => {
-      expect(answerNotice(undefined, '1').isLeaving).to.equal(true);
+      expect(parseNotice(undefined, '1').isLeaving).to.equal(true);
       for (const other of [undefined, '0', '', 'true', '11'])
-        expect(answerNotice(undefined, other).isLeaving).to.equal(false);
+        expect(parseNotice(undefined, other).isLeaving).to.equal(false);
     });
   });
 
--- a/tests/retryBudget.spec.ts
+++ b/tests/retryBudget.spec.ts
@@ -4,7 +4,7 @@
   Forwarder,
   DecisionTrace,
   type Peers,
-  ReplayBody,
+  ReplayableBody,
   TokenBucketRetryBudget,
   RunningCall,
   ConnectionLoss,
@@ -65,7 +65,7 @@
       self: 'none',
       local: exchange as never,
     });
-    const body = new ReplayBody(EMPTY_BODY);
+    const body = new ReplayableBody(EMPTY_BODY);
     const { first } = await forwarder.forward(ROUTE, { ...HEAD, context }, context, body, NEVER);
     expect(isFinalPart(first)).to.equal(true);
     return first;
--- a/tests/slowReaders.spec.ts
+++ b/tests/slowReaders.spec.ts
@@ -1,4 +1,4 @@
-import { WorkTurns, singlePartResponse, replay } from '@cleatquay/calls';
+import { RequestScheduler, singlePartResponse, replay } from '@cleatquay/calls';
 import { SystemClock } from '@cleatquay/clock';
 import { RelayGateway } from '@cleatquay/daemon';
 import { callerDialect } from '@cleatquay/platform';
@@ -32,7 +32,7 @@
       limits: () => undefined,
       needsKeys: () => false,
       isShuttingDown: () => false,
-      scheduler: new WorkTurns(new SystemClock(), () => false),
+      scheduler: new RequestScheduler(new SystemClock(), () => false),
       onRequestStart: () => {
         inFlight++;
         return () => inFlight--;
--- a/tests/upstreams.spec.ts
+++ b/tests/upstreams.spec.ts
@@ -1,4 +1,4 @@
-import { type AnswerNotice } from '@cleatquay/calls';
+import { type ResponseNotice } from '@cleatquay/calls';
 import { ManualClock } from '@cleatquay/clock';
 import { type Announcement, Upstreams } from '@cleatquay/daemon';
 import { expect } from 'chai';
@@ -119,7 +119,7 @@
   });
 
   describe('an upstream that reports in a response that it is shutting down', () => {
-    const LEAVING_NOTICE: AnswerNotice = { rateLimit: 'none', isLeaving: true };
+    const LEAVING_NOTICE: ResponseNotice = { rateLimit: 'none', isLeaving: true };
     const reportLeaving = () => upstreams.get('history')!.onNotice(LEAVING_NOTICE, clock.awake());
     const isDraining = () => upstreams.get('history')!.isDraining;
 
