--- a/packages/daemon/src/callerGateway.ts
+++ b/packages/daemon/src/callerGateway.ts
@@ -18,8 +18,8 @@
   nativeResponseWriter,
   writeResponseParts,
   writeRefusal,
-} from './callerAnswer.js';
-import { disconnectSignalOf } from './departures.js';
+} from './callerResponse.js';
+import { disconnectSignalOf } from './callerDisconnect.js';
 import { gatewaySettings } from './gatewaySettings.js';
 import { type Metrics } from './metrics.js';
 
--- a/packages/daemon/src/callerAnswer.ts
+++ b/packages/daemon/src/callerResponse.ts
@@ -70,13 +70,13 @@
 /** Writes what a daemon adds to an upstream's response, and the refusals that stand in for one. */
 export interface ResponseWriter {
   /** Headers in addition to those of the upstream: alternating names and values. */
-  readonly headers: (status: number, request: IncomingMessage) => string[];
+  readonly addedHeaders: (status: number, request: IncomingMessage) => string[];
   readonly refusal: (response: ServerResponse, refusal: Refusal) => void;
 }
 
 /** Writes responses of the native interface. */
 export const nativeResponseWriter: ResponseWriter = {
-  headers: status => [headerNames.outcome, status >= FIRST_SERVER_ERROR_STATUS ? 'failed' : 'answered'],
+  addedHeaders: status => [headerNames.outcome, status >= FIRST_SERVER_ERROR_STATUS ? 'failed' : 'answered'],
   refusal: writeRefusal,
 };
 
@@ -127,7 +127,7 @@
   length: number | undefined,
   writer: ResponseWriter,
 ): void {
-  const list = [...parseHeaderBlock(headers), ...writer.headers(status, response.req)];
+  const list = [...parseHeaderBlock(headers), ...writer.addedHeaders(status, response.req)];
   if (unframed) delimitByConnectionClose(response);
   else if (length !== undefined) list.push('content-length', String(length));
   response.writeHead(status, list);
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,5 +1,5 @@
 /** The daemon: the process that runs on the VM of each upstream and handles its calls. */
-export { type ResponseWriter } from './callerAnswer.js';
+export { type ResponseWriter } from './callerResponse.js';
 export { Daemon, type DaemonOptions } from './daemon.js';
 export { type Listener } from './httpListeners.js';
 export { type PlatformAdapter, RelayDaemon, type RelayDaemonOptions } from './relayDaemon.js';
--- a/packages/daemon/src/operatorGateway.ts
+++ b/packages/daemon/src/operatorGateway.ts
@@ -5,7 +5,7 @@
 import { type Errors, type ServiceSchema } from 'moleculer';
 import ApiGateway from 'moleculer-web';
 import { type IncomingMessage, type ServerResponse } from 'node:http';
-import { type FaultHooks } from './faults.js';
+import { type FaultHooks } from './faultHooks.js';
 import { gatewaySettings } from './gatewaySettings.js';
 import { type Metrics } from './metrics.js';
 import { type Upstreams } from './upstreams.js';
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -27,12 +27,12 @@
 import { createServer } from 'node:http';
 import { type Logger } from 'pino';
 import { logAdoption, logDoubt, logPeerFailure } from './adoptionLog.js';
-import { DaemonCore } from './core.js';
+import { DaemonCore } from './daemonCore.js';
 import { takeOver } from './formerUpstreams.js';
 import { HttpListeners, type Listener, listenAddress, serverOf, startServers } from './httpListeners.js';
 import { Metrics } from './metrics.js';
 import { operatorGateway } from './operatorGateway.js';
-import { createBroker } from './quietBroker.js';
+import { createBroker } from './createBroker.js';
 import { type CallerDialect, RelayGateway } from './relayGateway.js';
 import { addQuarantineGauges } from './quarantineGauges.js';
 import { PressureLog } from './pressureLog.js';
@@ -68,12 +68,12 @@
 export interface PlatformAdapter {
   readonly callers: CallerDialect;
   readonly upstreams: UpstreamDialect;
-  readonly source: ConfigurationSource;
-  readonly meeting: MeetingTable;
+  readonly configurationSource: ConfigurationSource;
+  readonly discoveryTable: MeetingTable;
   readonly quarantine: QuarantineTable;
   /** Parses the sections of a configuration. */
   readonly plan: (sections: Sections) => RoutePlan;
-  readonly listeners: (daemon: RelayDaemon) => readonly Listener[];
+  readonly createListeners: (daemon: RelayDaemon) => readonly Listener[];
 }
 
 /** Dependencies of a daemon for unmodified callers. */
@@ -82,7 +82,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
-  readonly installation: PlatformAdapter;
+  readonly platformAdapter: PlatformAdapter;
 }
 
 /** A running daemon for unmodified callers. */
@@ -115,7 +115,7 @@
   private drainDeadline = Number.POSITIVE_INFINITY;
 
   private constructor(private readonly options: RelayDaemonOptions) {
-    const { settings, clock, random, log, installation: adapter } = options;
+    const { settings, clock, random, log, platformAdapter: adapter } = options;
     this.configurationLog = log.child({ part: 'configuration' });
     this.learnedCalls = new LearnedCalls(clock);
     const processorLog = log.child({ part: 'processor' });
@@ -262,7 +262,7 @@
   }
 
   private startCore(): Promise<DaemonCore> {
-    const { settings, clock, random, log, installation: adapter } = this.options;
+    const { settings, clock, random, log, platformAdapter: adapter } = this.options;
     const { retries } = settings;
     return DaemonCore.start({
       settings,
@@ -333,12 +333,12 @@
   }
 
   private createDiscovery(): Meeting {
-    const { clock, random, log, installation: adapter } = this.options;
+    const { clock, random, log, platformAdapter: adapter } = this.options;
     const discoveryLog = log.child({ part: 'meeting' });
     return new Meeting({
       clock,
       random,
-      table: adapter.meeting,
+      table: adapter.discoveryTable,
       membership: this.membership,
       isTender: () => this.readers.isReader,
       kept: () => ({ departures: this.upstreams.departures, upstreams: this.upstreams.known }),
@@ -349,7 +349,7 @@
 
   /** Restores the upstreams and shutdowns that an earlier process of this daemon recorded. */
   private restoreUpstreams({ departures, upstreams }: KeptState): void {
-    const { settings, clock, log, installation: adapter } = this.options;
+    const { settings, clock, log, platformAdapter: adapter } = this.options;
     for (const { instanceId, born } of departures) this.upstreams.leave(instanceId, born);
     void takeOver(upstreams, {
       clock,
@@ -364,11 +364,11 @@
   }
 
   private createWatcher(): ConfigurationWatch {
-    const { clock, installation: adapter } = this.options;
+    const { clock, platformAdapter: adapter } = this.options;
     return new ConfigurationWatch({
       clock,
       configuration: this.configuration,
-      source: adapter.source,
+      source: adapter.configurationSource,
       freshness: this.organisations.freshness,
       isOnDuty: () => this.readers.isOnDuty,
       waitMs: isFirst =>
@@ -405,10 +405,10 @@
   }
 
   private async startListening(): Promise<void> {
-    const { settings, clock, installation: adapter } = this.options;
+    const { settings, clock, platformAdapter: adapter } = this.options;
     this.core.quarantine.start();
     this.listeners.add('callers', settings.callers, this.gateway.server);
-    for (const { name, address, handle } of adapter.listeners(this))
+    for (const { name, address, handle } of adapter.createListeners(this))
       this.listeners.add(name, address, createServer(handle));
     const operators = this.broker.createService(
       operatorGateway({
--- a/packages/daemon/src/relayGateway.ts
+++ b/packages/daemon/src/relayGateway.ts
@@ -17,8 +17,8 @@
   DISCONNECT_REFUSAL,
   writeResponse,
   writeHttpParserError,
-} from './callerAnswer.js';
-import { disconnectSignalOf } from './departures.js';
+} from './callerResponse.js';
+import { disconnectSignalOf } from './callerDisconnect.js';
 
 /** Upper bound of header bytes in node's parser; the limit of the configuration is lower. */
 const MAX_HEADER_BYTES = 65_536;
@@ -39,10 +39,10 @@
   /** Time that the caller will wait, ms; throws if the header is not a valid duration. */
   readonly remainingMs: (request: IncomingMessage) => number | undefined;
   /** Lower-case names of headers that are not forwarded unchanged. */
-  readonly consumed: ReadonlySet<string>;
+  readonly consumedHeaders: ReadonlySet<string>;
   /** Lower-case name of the header that carries the caller's API key, if requests need one. */
-  readonly credentials: string;
-  readonly writer: ResponseWriter;
+  readonly credentialsHeader: string;
+  readonly responseWriter: ResponseWriter;
 }
 
 /** Dependencies of the gateway. */
@@ -65,7 +65,7 @@
   private hasEverNeededKeys = false;
 
   constructor(private readonly options: RelayGatewayOptions) {
-    const { consumed, credentials } = options.dialect;
+    const { consumedHeaders: consumed, credentialsHeader: credentials } = options.dialect;
     this.consumedWithKeys = new Set([...consumed, credentials]);
     this.server = createServer(
       { maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 },
@@ -109,12 +109,12 @@
       );
       // Most responses have a single part, and may close before the next line resolves.
       refusal = callResponse.first.refusal;
-      refusal = await writeResponse(response, callResponse, dialect.writer);
+      refusal = await writeResponse(response, callResponse, dialect.responseWriter);
     } catch (error) {
       const failure = asFailure(error);
       refusal = refusalOf(failure.result, failure.describe());
       if (response.headersSent) response.destroy();
-      else dialect.writer.refusal(response, refusal);
+      else dialect.responseWriter.refusal(response, refusal);
     }
   }
 
@@ -142,12 +142,12 @@
    * therefore never forwarded again for the lifetime of this process.
    */
   private consumedHeaders(): ReadonlySet<string> {
-    return this.hasEverNeededKeys ? this.consumedWithKeys : this.options.dialect.consumed;
+    return this.hasEverNeededKeys ? this.consumedWithKeys : this.options.dialect.consumedHeaders;
   }
 
   private credentialsOf({ rawHeaders }: IncomingMessage): Credentials {
     const { dialect, needsKeys } = this.options;
-    return needsKeys() ? credentialsIn(rawHeaders, dialect.credentials) : 'none';
+    return needsKeys() ? credentialsIn(rawHeaders, dialect.credentialsHeader) : 'none';
   }
 
   private bodyOf(request: IncomingMessage): CallBody {
--- a/packages/daemon/src/relaySettings.ts
+++ b/packages/daemon/src/relaySettings.ts
@@ -1,7 +1,7 @@
 /** Settings of a daemon for unmodified callers. */
 import { type FleetRetryBounds } from '@cleatquay/calls';
 import { type QuotaDivision } from '@cleatquay/organisations';
-import { type CoreSettings } from './core.js';
+import { type CoreSettings } from './daemonCore.js';
 
 /** Addresses on the VM, and the limits that the daemon enforces. */
 export interface RelaySettings extends CoreSettings {
