--- a/packages/daemon/src/adoptionLog.ts
+++ b/packages/daemon/src/adoptionLog.ts
@@ -14,7 +14,7 @@
 }
 
 /** Logs that a peer has different content for the active generation. The platform is then read to find out which is right. */
-export function logDoubt(
+export function logDigestMismatch(
   log: Logger,
   { generation, digest }: { readonly generation: number; readonly digest: string },
   peer: string,
@@ -23,6 +23,6 @@
 }
 
 /** Logs that a peer reported a higher generation but did not deliver it. Writes at most four lines a second. */
-export function logPeerFailure(log: Logger, peer: string, reason: string): void {
+export function logPeerFetchFailure(log: Logger, peer: string, reason: string): void {
   log.info({ peer, reason }, 'Configuration: Fetching a version from a peer failed.');
 }
--- a/packages/daemon/src/fleetQuotas.ts
+++ b/packages/daemon/src/createFleetQuotas.ts
@@ -17,12 +17,12 @@
   readonly random: Random;
   readonly membership: Membership;
   /** Whether this daemon has a view of the fleet. Before that it can't compute its share. */
-  readonly knowsFleet: () => boolean;
+  readonly hasFleetView: () => boolean;
 }
 
 /** Creates quotas that exchange their messages in membership datagrams. */
-export function fleetQuotas(options: FleetQuotasOptions): Quotas {
-  const { failureDomain, division, clock, random, membership, knowsFleet } = options;
+export function createFleetQuotas(options: FleetQuotasOptions): Quotas {
+  const { failureDomain, division, clock, random, membership, hasFleetView: knowsFleet } = options;
   const monotonicTime = new ForwardTime(clock);
   return new Quotas({
     clock,
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -24,7 +24,7 @@
 import { type Logger } from 'pino';
 import { writeHttpParserError } from './callerResponse.js';
 import { callerGateway } from './callerGateway.js';
-import { logAdoption, logDoubt, logPeerFailure } from './adoptionLog.js';
+import { logAdoption, logDigestMismatch, logPeerFetchFailure } from './adoptionLog.js';
 import { DaemonCore } from './daemonCore.js';
 import { type ReportSources, addDaemonGauges, daemonDump, daemonStatus } from './daemonReport.js';
 import { FaultHooks } from './faultHooks.js';
@@ -32,10 +32,10 @@
 import { operatorGateway } from './operatorGateway.js';
 import { listenAddress, serverOf, startServers } from './httpListeners.js';
 import { addOrganisationGauges } from './organisationGauges.js';
-import { OrganisationSide } from './organisationSide.js';
+import { OrganisationServices } from './organisationServices.js';
 import { addQuarantineGauges } from './quarantineGauges.js';
 import { createBroker } from './createBroker.js';
-import { readersOf } from './readers.js';
+import { platformReadersOf } from './platformReaders.js';
 import { addUpstreamGauges } from './upstreamGauges.js';
 import { checkListening, checkSameVm } from './upstreamAddress.js';
 import { type UpstreamBounds, type Upstreams } from './upstreams.js';
@@ -76,7 +76,7 @@
   private core!: DaemonCore;
   private ingress!: Ingress;
   private distribution!: ConfigurationSpread;
-  private readonly organisations: OrganisationSide;
+  private readonly organisations: OrganisationServices;
   private callerAddress = '';
   private shutdownPhase: 'announced' | 'refusing' | undefined;
 
@@ -102,7 +102,7 @@
   static async start(options: DaemonOptions): Promise<Daemon> {
     const daemon = new Daemon(options);
     daemon.core = await daemon.startCore();
-    daemon.organisations.join(daemon.membership);
+    daemon.organisations.connect(daemon.membership);
     daemon.ingress = daemon.createIngress();
     daemon.distribution = daemon.createDistribution();
     addDaemonGauges(daemon.metrics, daemon.reportSources);
@@ -184,7 +184,7 @@
       handleAsHome: (head, body, signal) => this.ingress.handleAsHome(head, body, signal),
       answerConfiguration: request => this.configuration.answer(request),
       freshness: this.organisations.freshness,
-      quotas: this.organisations.handlers,
+      quotas: this.organisations.quotaHandlers,
       onPeerConfiguration: (reported, peer) => this.distribution.heard(reported, peer),
     });
   }
@@ -217,20 +217,20 @@
       running: core.running,
       journal: core.decisionTrace,
       authenticator: this.organisations.senders,
-      quotaGate: this.organisations.gate(core.decisionTrace),
+      quotaGate: this.organisations.createQuotaGate(core.decisionTrace),
     });
   }
 
   private onConfigurationAdopted(): void {
     this.core.membership.setConfiguration(this.configuration);
-    this.organisations.adopted();
+    this.organisations.onConfigurationAdopted();
   }
 
   /** The daemon is assumed to know the fleet, and so its share of quotas, some time after its start. */
-  private createOrganisationServices(): OrganisationSide {
+  private createOrganisationServices(): OrganisationServices {
     const { settings, clock, random } = this.options;
     const startedAt = clock.now();
-    return new OrganisationSide({
+    return new OrganisationServices({
       clock,
       random,
       configuration: this.configuration,
@@ -238,7 +238,7 @@
       revocationMs: settings.revocationMs,
       failureDomain: settings.failureDomain,
       division: { failureDomains: settings.failureDomains, slack: settings.quotaSlack },
-      knowsFleet: () => clock.now() - startedAt > FLEET_DISCOVERY_MS,
+      hasFleetView: () => clock.now() - startedAt > FLEET_DISCOVERY_MS,
       log: (message, facts) => this.configurationLog.info(facts, `Configuration: ${message}`),
     });
   }
@@ -252,13 +252,14 @@
       configuration: this.configuration,
       freshness: this.organisations.freshness,
       store: this.store && new ConfigurationStore(this.store, clock),
-      isReader: () => readersOf(settings.failureDomain, core.membership.table.all()).includes(core.self),
+      isReader: () =>
+        platformReadersOf(settings.failureDomain, core.membership.table.all()).includes(core.self),
       onReach: isReached => core.membership.setPlatformLost(!isReached),
       inOrder: holders => holders,
       patienceMs: () => 0,
       fetch: (peer, request) => core.peers.fetchConfiguration(peer, request),
-      onPeerFailure: (peer, reason) => logPeerFailure(this.configurationLog, peer, reason),
-      onDoubt: peer => logDoubt(this.configurationLog, this.configuration, peer),
+      onPeerFailure: (peer, reason) => logPeerFetchFailure(this.configurationLog, peer, reason),
+      onDoubt: peer => logDigestMismatch(this.configurationLog, this.configuration, peer),
     });
   }
 
--- a/packages/daemon/src/daemonCore.ts
+++ b/packages/daemon/src/daemonCore.ts
@@ -38,7 +38,7 @@
 import { type Candidate, Directory, Router } from '@cleatquay/routing';
 import { type Logger } from 'pino';
 import { DecisionLog } from './decisionLog.js';
-import { askHealth } from './upstreamHealth.js';
+import { checkHealth } from './upstreamHealth.js';
 import { Upstreams, type UpstreamsOptions } from './upstreams.js';
 
 /** Delay until the connection and state of a peer that is DEAD or LEFT are dropped, ms: calls to it may still be in flight. */
@@ -173,7 +173,7 @@
       clock,
       random,
       onChange: list => this.announceUpstreams(list),
-      askNotice: (service, address) => this.queryNotice(service, address),
+      fetchNotice: (service, address) => this.queryNotice(service, address),
       log: (message, facts) => upstreamsLog.info(facts, `Upstreams: ${message}`),
     });
     const requests = new DecisionLog(clock, log.child({ part: 'requests' }));
@@ -194,7 +194,7 @@
       routeOf: options.routeOf,
       dialect: options.dialect,
       upstream: service => this.upstreams.get(service),
-      onNotice: (service, notice) => this.upstreams.told(service, notice),
+      onNotice: (service, notice) => this.upstreams.applyPeerNotice(service, notice),
       downstreamLevel: route => this.downstreamLevel(route),
       attempts: this.attempts,
       running: this.running,
@@ -262,7 +262,7 @@
   private async queryNotice(service: string, address: string): Promise<ResponseNotice | undefined> {
     const path = this.options.healthPath(service);
     if (path === undefined) return undefined;
-    return this.options.dialect.noticeOf((await askHealth(address, path)).headers);
+    return this.options.dialect.noticeOf((await checkHealth(address, path)).headers);
   }
 
   private reachabilityOf({ address, failureDomain }: Candidate): Reachability {
--- a/packages/daemon/src/daemonReport.ts
+++ b/packages/daemon/src/daemonReport.ts
@@ -108,6 +108,8 @@
   gauge('gossip_sent_bytes', 'Bytes of gossip sent', () => traffic.sentBytes);
   gauge('gossip_received_bytes', 'Bytes of gossip received', () => traffic.receivedBytes);
   gauge('remembered_ids', 'Request ids remembered here', () => home.size);
-  gauge('admission_level', 'Lowest admission level of the upstreams here', () => upstreams.lowestLevel());
+  gauge('admission_level', 'Lowest admission level of the upstreams here', () =>
+    upstreams.lowestAdmissionLevel(),
+  );
   gauge('invariant_violations', 'Broken invariants, see the dump', () => invariantViolations.count);
 }
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -8,4 +8,4 @@
 export { type RelaySettings } from './relaySettings.js';
 export { type Announcement } from './announcement.js';
 export { Upstreams } from './upstreams.js';
-export { Readers } from './readers.js';
+export { PlatformReaders } from './platformReaders.js';
--- a/packages/daemon/src/organisationSide.ts
+++ b/packages/daemon/src/organisationServices.ts
@@ -4,12 +4,12 @@
 import { Freshness, type ProvenConfiguration } from '@cleatquay/configuration';
 import { type Membership, type QuotaHandlers } from '@cleatquay/membership';
 import { type Keyring, OrganisationCounts, type QuotaDivision, type Quotas } from '@cleatquay/organisations';
-import { fleetQuotas } from './fleetQuotas.js';
-import { ProofRenewer } from './proofRounds.js';
-import { Readers } from './readers.js';
+import { createFleetQuotas } from './createFleetQuotas.js';
+import { ProofRenewer } from './proofRenewer.js';
+import { PlatformReaders } from './platformReaders.js';
 
 /** Dependencies of the services. */
-export interface OrganisationSideOptions {
+export interface OrganisationServicesOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly configuration: ProvenConfiguration;
@@ -23,26 +23,26 @@
   readonly failureDomain: string;
   readonly division: QuotaDivision;
   /** Whether this daemon has a view of the fleet, and so can compute its share of the quotas. */
-  readonly knowsFleet: () => boolean;
+  readonly hasFleetView: () => boolean;
   readonly log: (message: string, facts: object) => void;
 }
 
 /** Keys and quotas of organisations in one daemon. */
-export class OrganisationSide implements AsyncDisposable {
+export class OrganisationServices implements AsyncDisposable {
   readonly freshness: Freshness;
   readonly counts = new OrganisationCounts();
   readonly senders: Authenticator;
   /** Undefined if keys are accepted without a freshness proof. */
-  proofs: ProofRenewer | undefined;
+  proofRenewer: ProofRenewer | undefined;
   /** Created once the daemon listens for its peers. */
   quotas!: Quotas;
 
-  constructor(private readonly options: OrganisationSideOptions) {
+  constructor(private readonly options: OrganisationServicesOptions) {
     const { clock, random, configuration } = options;
     this.freshness = new Freshness(clock, configuration);
     this.senders = new Authenticator({
       random,
-      areRevocationsCurrent: () => this.proofs?.hasValidProof ?? true,
+      areRevocationsCurrent: () => this.proofRenewer?.hasValidProof ?? true,
     });
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** Handlers for the quota messages that membership receives. */
-  get handlers(): QuotaHandlers {
+  get quotaHandlers(): QuotaHandlers {
     return {
       heardQuestion: (question, from) => this.quotas.heardQuestion(question, from),
       heardAnswer: (answer, from) => this.quotas.heardAnswer(answer, from),
@@ -60,13 +60,13 @@
   }
 
   /** Connects to the membership. Must be called before `start`. */
-  join(membership: Membership): void {
-    this.proofs = this.createProofRenewer(membership);
-    this.quotas = fleetQuotas({ ...this.options, membership });
+  connect(membership: Membership): void {
+    this.proofRenewer = this.createProofRenewer(membership);
+    this.quotas = createFleetQuotas({ ...this.options, membership });
   }
 
   /** Creates the gate that applies quotas to requests. */
-  gate(journal: DecisionTrace): QuotaGate {
+  createQuotaGate(journal: DecisionTrace): QuotaGate {
     return new QuotaGate({
       clock: this.options.clock,
       journal,
@@ -77,7 +77,7 @@
   }
 
   /** Applies the organisations of a new configuration. */
-  adopted(): void {
+  onConfigurationAdopted(): void {
     const organisations = this.options.keyring()?.organisations ?? [];
     this.quotas.adopt(organisations);
     this.counts.keepOnly(new Set(organisations.map(({ name }) => name)));
@@ -85,11 +85,11 @@
 
   /** Starts to renew freshness proofs. */
   start(): void {
-    this.proofs?.start();
+    this.proofRenewer?.start();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    await this.proofs?.[Symbol.asyncDispose]();
+    await this.proofRenewer?.[Symbol.asyncDispose]();
     this.quotas[Symbol.dispose]();
   }
 
@@ -100,7 +100,7 @@
       clock,
       random,
       freshness: this.freshness,
-      readers: new Readers(clock, membership, failureDomain),
+      readers: new PlatformReaders(clock, membership, failureDomain),
       membership,
       revocationMs,
       needsKeys: () => this.needsKeys,
--- a/packages/daemon/src/readers.ts
+++ b/packages/daemon/src/platformReaders.ts
@@ -49,7 +49,7 @@
  * Returns the readers of a failure domain in this view of the fleet: two whose reads succeed or, if there are none, all
  * readers and fallback readers. If the views of two daemons differ, that only causes some additional reads.
  */
-export function readersOf(failureDomain: string, members: Iterable<Member>): string[] {
+export function platformReadersOf(failureDomain: string, members: Iterable<Member>): string[] {
   const candidates = rankedMembers(failureDomain, members).slice(0, READERS_PER_DOMAIN + FALLBACK_READERS);
   const connected = candidates.filter(({ isPlatformLost }) => !isPlatformLost);
   const chosen = connected.length > 0 ? connected.slice(0, READERS_PER_DOMAIN) : candidates;
@@ -73,7 +73,7 @@
 }
 
 /** The platform readers as seen by one daemon. */
-export class Readers {
+export class PlatformReaders {
   constructor(
     private readonly clock: Clock,
     private readonly membership: Pick<Membership, 'me' | 'table' | 'lastHeardAt' | 'aliveCount'>,
@@ -94,7 +94,7 @@
    * Whether this daemon must read the platform now: as a reader, or because it is isolated. While it knows no other
    * members yet, it can't tell whether it is a reader.
    */
-  get isOnDuty(): boolean {
+  get mustReadPlatform(): boolean {
     const isIsolated = this.clock.now() - this.membership.lastHeardAt > ISOLATED_AFTER_MS;
     return isIsolated || (this.membership.aliveCount() > 0 && this.isReader);
   }
@@ -104,7 +104,7 @@
    * failure domain, then its readers, which most likely have read it as well, and last the holders elsewhere, since
    * traffic between failure domains is expensive.
    */
-  inOrder(holders: readonly string[]): readonly string[] {
+  fetchOrder(holders: readonly string[]): readonly string[] {
     const sameDomain = holders.filter(peer => this.isInSameDomain(peer));
     const otherDomain = holders.filter(peer => !this.isInSameDomain(peer));
     const readers = this.sameDomainReaders.filter(address => address !== this.membership.me.address);
@@ -112,7 +112,7 @@
   }
 
   /** Delay before fetching a version from a peer that reports to have it, ms. */
-  patienceMs(peer: string): number {
+  fetchDelayMs(peer: string): number {
     if (this.isReader) return READER_FETCH_DELAY_MS;
     return this.isInSameDomain(peer) ? 0 : OTHER_DOMAIN_FETCH_DELAY_MS;
   }
@@ -145,7 +145,7 @@
   }
 
   /** Delay after a failed read of the platform, ms. */
-  get pauseMs(): number {
+  get retryDelayMs(): number {
     return Math.max(1, this.sameDomainReaders.length) * RETRY_DELAY_PER_READER_MS;
   }
 
@@ -153,11 +153,11 @@
   private get allReaders(): string[] {
     const members = [...this.membership.table.all()];
     const domains = [...new Set(members.map(({ failureDomain }) => failureDomain))].sort();
-    return domains.flatMap(domain => readersOf(domain, members));
+    return domains.flatMap(domain => platformReadersOf(domain, members));
   }
 
   private get sameDomainReaders(): string[] {
-    return readersOf(this.failureDomain, this.membership.table.all());
+    return platformReadersOf(this.failureDomain, this.membership.table.all());
   }
 
   private isInSameDomain(peer: string): boolean {
--- a/packages/daemon/src/pressureLog.ts
+++ b/packages/daemon/src/pressureLog.ts
@@ -21,7 +21,7 @@
   ) {}
 
   /** Adds a sample. `isLagging` tells whether `lagMs` exceeds the threshold. */
-  sampled(lagMs: number, isLagging: boolean): void {
+  addSample(lagMs: number, isLagging: boolean): void {
     if (isLagging) this.recordLag(lagMs);
     else if (this.period && this.clock.now() - this.period.lastLagAt >= RECOVERY_MS)
       this.endPeriod(this.period);
--- a/packages/daemon/src/proofRounds.ts
+++ b/packages/daemon/src/proofRenewer.ts
@@ -6,7 +6,7 @@
 import { type Clock, type Random } from '@cleatquay/clock';
 import { type Freshness } from '@cleatquay/configuration';
 import { type Membership } from '@cleatquay/membership';
-import { type Readers } from './readers.js';
+import { type PlatformReaders } from './platformReaders.js';
 
 /**
  * Fractions of the revocation time: how often a daemon asks for a proof, how often one daemon of each failure domain
@@ -25,7 +25,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly freshness: Freshness;
-  readonly readers: Pick<Readers, 'proofSources' | 'isReader' | 'isFirstReader'>;
+  readonly readers: Pick<PlatformReaders, 'proofSources' | 'isReader' | 'isFirstReader'>;
   readonly membership: Pick<Membership, 'ask' | 'randomAlive' | 'table'>;
   /** Longest time for which a key may be accepted after it was revoked, ms. */
   readonly revocationMs: number;
@@ -57,7 +57,7 @@
    * the first reader of the failure domain. The other readers start to read when the proof has become so old that the
    * first reader seems to have failed.
    */
-  get paceMs(): number | undefined {
+  get readIntervalMs(): number | undefined {
     const { revocationMs, readers, freshness, needsKeys } = this.options;
     const intervalMs = revocationMs * READ_INTERVAL_RATIO;
     if (!needsKeys()) return undefined;
@@ -66,7 +66,7 @@
   }
 
   /** How long a platform reader may wait for a change before it checks whether to obtain proofs instead, ms. */
-  get longestWaitMs(): number {
+  get maxWaitMs(): number {
     return this.options.needsKeys() ? this.options.revocationMs * MAX_WAIT_RATIO : Number.POSITIVE_INFINITY;
   }
 
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -26,9 +26,9 @@
 import { type ServiceBroker } from 'moleculer';
 import { createServer } from 'node:http';
 import { type Logger } from 'pino';
-import { logAdoption, logDoubt, logPeerFailure } from './adoptionLog.js';
+import { logAdoption, logDigestMismatch, logPeerFetchFailure } from './adoptionLog.js';
 import { DaemonCore } from './daemonCore.js';
-import { takeOver } from './formerUpstreams.js';
+import { restoreUpstreams } from './restoreUpstreams.js';
 import { HttpListeners, type Listener, listenAddress, serverOf, startServers } from './httpListeners.js';
 import { Metrics } from './metrics.js';
 import { operatorGateway } from './operatorGateway.js';
@@ -36,9 +36,9 @@
 import { type CallerDialect, RelayGateway } from './relayGateway.js';
 import { addQuarantineGauges } from './quarantineGauges.js';
 import { PressureLog } from './pressureLog.js';
-import { Readers } from './readers.js';
+import { PlatformReaders } from './platformReaders.js';
 import { addOrganisationGauges } from './organisationGauges.js';
-import { OrganisationSide } from './organisationSide.js';
+import { OrganisationServices } from './organisationServices.js';
 import { addRelayGauges } from './relayGauges.js';
 import { type RelayReportSources, relayDump, relayStatus } from './relayReport.js';
 import { type RelaySettings } from './relaySettings.js';
@@ -89,7 +89,7 @@
 export class RelayDaemon implements AsyncDisposable {
   readonly metrics = new Metrics();
   readonly configuration: Configuration<HostRoutes>;
-  private readonly organisations: OrganisationSide;
+  private readonly organisations: OrganisationServices;
   private readonly broker: ServiceBroker = createBroker();
   private readonly configurationLog: Logger;
   private readonly gateway: RelayGateway;
@@ -99,7 +99,7 @@
   /** Set once the daemon listens for its peers. */
   private core!: DaemonCore;
   private ingress!: Relay;
-  private readers!: Readers;
+  private readers!: PlatformReaders;
   private discovery!: Meeting;
   private watcher!: ConfigurationWatch;
   private distribution!: ConfigurationSpread;
@@ -126,7 +126,7 @@
       clock,
       () => this.priorityClasses,
       () => this.scheduler.waitMs(),
-      (lagMs, isLagging) => pressureLog.sampled(lagMs, isLagging),
+      (lagMs, isLagging) => pressureLog.addSample(lagMs, isLagging),
     );
     this.scheduler = new RequestScheduler(clock, () => this.pressure.isLagging);
     this.configuration = new Configuration(
@@ -134,7 +134,7 @@
       sections => new HostRoutes(adapter.plan(sections), random, this.configuration.inForce),
       adoption => this.onConfigurationAdopted(adoption),
     );
-    this.organisations = new OrganisationSide({
+    this.organisations = new OrganisationServices({
       clock,
       random,
       configuration: this.configuration,
@@ -142,7 +142,7 @@
       revocationMs: settings.revocationMs,
       failureDomain: settings.failureDomain,
       division: settings.quotas,
-      knowsFleet: () => this.hasFleetView,
+      hasFleetView: () => this.hasFleetView,
       log: (message, facts) => this.configurationLog.info(facts, `Configuration: ${message}`),
     });
     this.gateway = new RelayGateway({
@@ -160,9 +160,9 @@
   static async start(options: RelayDaemonOptions): Promise<RelayDaemon> {
     const daemon = new RelayDaemon(options);
     daemon.core = await daemon.startCore();
-    daemon.organisations.join(daemon.membership);
+    daemon.organisations.connect(daemon.membership);
     daemon.ingress = daemon.createIngress();
-    daemon.readers = new Readers(options.clock, daemon.membership, options.settings.failureDomain);
+    daemon.readers = new PlatformReaders(options.clock, daemon.membership, options.settings.failureDomain);
     daemon.discovery = daemon.createDiscovery();
     daemon.watcher = daemon.createWatcher();
     daemon.distribution = daemon.createDistribution();
@@ -205,7 +205,9 @@
         field: 'service',
       });
     const isKnown = () =>
-      this.upstreams.known.some(known => known.instanceId === instanceId && known.born === born);
+      this.upstreams.identifiedUpstreams.some(
+        known => known.instanceId === instanceId && known.born === born,
+      );
     const wasKnown = isKnown();
     await this.upstreams.announce(announcement);
     if (!wasKnown && isKnown()) void this.discovery.record();
@@ -221,7 +223,7 @@
 
   /** Handles an upstream's report that it is shutting down. It is recorded, so that a restart of this daemon preserves it. */
   async leave(instanceId: string, born?: number): Promise<void> {
-    const isNew = this.upstreams.leave(instanceId, born);
+    const isNew = this.upstreams.markLeaving(instanceId, born);
     if (isNew) await this.discovery.record();
   }
 
@@ -296,7 +298,7 @@
       },
       answerConfiguration: request => this.configuration.answer(request),
       freshness: this.organisations.freshness,
-      quotas: this.organisations.handlers,
+      quotas: this.organisations.quotaHandlers,
       onPeerConfiguration: (reported, peer) => this.distribution.heard(reported, peer),
     });
   }
@@ -313,7 +315,7 @@
       running: this.core.running,
       learnedCalls: this.learnedCalls,
       authenticator: this.organisations.senders,
-      quotaGate: this.organisations.gate(this.core.decisionTrace),
+      quotaGate: this.organisations.createQuotaGate(this.core.decisionTrace),
       pressureLevel: () => this.pressure.level,
       timeLeftMs: () => this.drainDeadline - clock.now(),
       random,
@@ -341,7 +343,7 @@
       table: adapter.discoveryTable,
       membership: this.membership,
       isTender: () => this.readers.isReader,
-      kept: () => ({ departures: this.upstreams.departures, upstreams: this.upstreams.known }),
+      kept: () => ({ departures: this.upstreams.departures, upstreams: this.upstreams.identifiedUpstreams }),
       onFormer: recorded => this.restoreUpstreams(recorded),
       log: (message, facts) => discoveryLog.info(facts, `Meeting: ${message}`),
     });
@@ -350,15 +352,15 @@
   /** Restores the upstreams and shutdowns that an earlier process of this daemon recorded. */
   private restoreUpstreams({ departures, upstreams }: KeptState): void {
     const { settings, clock, log, platformAdapter: adapter } = this.options;
-    for (const { instanceId, born } of departures) this.upstreams.leave(instanceId, born);
-    void takeOver(upstreams, {
+    for (const { instanceId, born } of departures) this.upstreams.markLeaving(instanceId, born);
+    void restoreUpstreams(upstreams, {
       clock,
       heartbeatMs: settings.heartbeatMs,
       dialect: adapter.upstreams,
       healthPath: service => this.healthPathOf(service),
-      isKnown: service => this.upstreams.get(service) !== undefined,
+      hasAnnounced: service => this.upstreams.get(service) !== undefined,
       announce: announcement => this.upstreams.announce(announcement),
-      leave: ({ instanceId, born }) => this.leave(instanceId, born),
+      markLeaving: ({ instanceId, born }) => this.leave(instanceId, born),
       log: (message, facts) => log.info(facts, `Upstreams: ${message}`),
     });
   }
@@ -370,14 +372,14 @@
       configuration: this.configuration,
       source: adapter.configurationSource,
       freshness: this.organisations.freshness,
-      isOnDuty: () => this.readers.isOnDuty,
+      isOnDuty: () => this.readers.mustReadPlatform,
       waitMs: isFirst =>
         Math.min(
           this.readers.waitMs(isFirst),
-          this.organisations.proofs?.longestWaitMs ?? Number.POSITIVE_INFINITY,
+          this.organisations.proofRenewer?.maxWaitMs ?? Number.POSITIVE_INFINITY,
         ),
-      paceMs: () => this.organisations.proofs?.paceMs,
-      pauseMs: () => this.readers.pauseMs,
+      paceMs: () => this.organisations.proofRenewer?.readIntervalMs,
+      pauseMs: () => this.readers.retryDelayMs,
       onReach: isReached => this.membership.setPlatformLost(!isReached),
       log: (message, facts) => this.configurationLog.info(facts, `Configuration: ${message}`),
     });
@@ -393,12 +395,12 @@
       store: undefined,
       isReader: () => false,
       onReach: () => undefined,
-      patienceMs: peer => this.readers.patienceMs(peer),
+      patienceMs: peer => this.readers.fetchDelayMs(peer),
       fetch: (peer, request) => this.core.peers.fetchConfiguration(peer, request),
-      inOrder: holders => this.readers.inOrder(holders),
-      onPeerFailure: (peer, reason) => logPeerFailure(this.configurationLog, peer, reason),
+      inOrder: holders => this.readers.fetchOrder(holders),
+      onPeerFailure: (peer, reason) => logPeerFetchFailure(this.configurationLog, peer, reason),
       onDoubt: peer => {
-        logDoubt(this.configurationLog, this.configuration, peer);
+        logDigestMismatch(this.configurationLog, this.configuration, peer);
         this.watcher.doubt();
       },
     });
@@ -443,7 +445,7 @@
     this.priorityClasses = this.configuration.inForce?.classes ?? 1;
     this.core.membership.setConfiguration(this.configuration);
     this.gateway.adoptConfiguration();
-    this.organisations.adopted();
+    this.organisations.onConfigurationAdopted();
   }
 
   private onRequestStart(): (refusal: Refusal | undefined) => void {
--- a/packages/daemon/src/formerUpstreams.ts
+++ b/packages/daemon/src/restoreUpstreams.ts
@@ -7,7 +7,7 @@
 import { type Clock } from '@cleatquay/clock';
 import { asFailure } from '@cleatquay/errors';
 import { type Departure, type KnownUpstream } from '@cleatquay/membership';
-import { askHealth } from './upstreamHealth.js';
+import { checkHealth } from './upstreamHealth.js';
 import { type Announcement } from './announcement.js';
 
 /** How often to check for a configuration, which contains the path of the health check, ms. */
@@ -22,15 +22,15 @@
   /** Path of the health check of a service; undefined while there is no configuration. */
   readonly healthPath: (service: string) => string | undefined;
   /** Whether an upstream of the service has announced itself to this process. */
-  readonly isKnown: (service: string) => boolean;
+  readonly hasAnnounced: (service: string) => boolean;
   readonly announce: (announcement: Announcement) => Promise<void>;
   /** Called for an upstream that is running and reports that it is shutting down. */
-  readonly leave: (departure: Departure) => Promise<void>;
+  readonly markLeaving: (departure: Departure) => Promise<void>;
   readonly log: (message: string, facts: object) => void;
 }
 
 /** Restores the recorded upstreams that are still running. */
-export async function takeOver(
+export async function restoreUpstreams(
   recorded: readonly KnownUpstream[],
   options: RestoreUpstreamsOptions,
 ): Promise<void> {
@@ -38,7 +38,7 @@
 }
 
 async function restoreUpstream(upstream: KnownUpstream, options: RestoreUpstreamsOptions): Promise<void> {
-  const { isKnown, announce, leave, log } = options;
+  const { hasAnnounced: isKnown, announce, markLeaving: leave, log } = options;
   const facts = { service: upstream.service, instance: upstream.instanceId };
   try {
     const state = await checkState(upstream, options);
@@ -61,13 +61,13 @@
 
 async function checkState(
   { service, address, instanceId }: KnownUpstream,
-  { clock, heartbeatMs, dialect, healthPath, isKnown }: RestoreUpstreamsOptions,
+  { clock, heartbeatMs, dialect, healthPath, hasAnnounced: isKnown }: RestoreUpstreamsOptions,
 ): Promise<RecordedUpstreamState> {
   const end = clock.now() + heartbeatMs;
   while (healthPath(service) === undefined && clock.now() < end) await clock.sleep(CONFIGURATION_POLL_MS);
   const path = healthPath(service);
   if (path === undefined || isKnown(service)) return 'gone';
-  const { isHealthy, headers } = await askHealth(address, path);
+  const { isHealthy, headers } = await checkHealth(address, path);
   if (dialect.instanceOf(headers) !== instanceId) return 'gone';
   if (dialect.noticeOf(headers).isLeaving) return 'leaving';
   return isHealthy ? 'running' : 'gone';
--- a/packages/daemon/src/upstreamHealth.ts
+++ b/packages/daemon/src/upstreamHealth.ts
@@ -13,7 +13,7 @@
 }
 
 /** Requests the health check at an address, ip:port. Rejects if there is no response in time. */
-export async function askHealth(address: string, path: string): Promise<HealthStatus> {
+export async function checkHealth(address: string, path: string): Promise<HealthStatus> {
   const signal = AbortSignal.timeout(HEALTH_TIMEOUT_MS);
   const { statusCode, headers, body } = await request(`http://${address}${path}`, { signal });
   await body.dump();
--- a/packages/daemon/src/upstreams.ts
+++ b/packages/daemon/src/upstreams.ts
@@ -7,8 +7,8 @@
 import { type Announcement, checkAnnouncement, isSameStart, startIdOf } from './announcement.js';
 import { NoticeLog } from './noticeLog.js';
 import { RateLimits } from './rateLimits.js';
-import { SlowRateProbe } from './slowRates.js';
-import { InstanceStarts } from './starts.js';
+import { SlowRateProbe } from './slowRateProbe.js';
+import { InstanceStarts } from './instanceStarts.js';
 
 /** Number of missed heartbeats after which an upstream is removed. */
 const MAX_MISSED_HEARTBEATS = 3;
@@ -53,7 +53,7 @@
   /** Rejects for an announced address that this daemon must not use for an upstream. */
   readonly checkAddress: (address: string) => Promise<void>;
   /** Returns the notice of an upstream's health check; undefined if it has none. */
-  readonly askNotice: (service: string, address: string) => Promise<ResponseNotice | undefined>;
+  readonly fetchNotice: (service: string, address: string) => Promise<ResponseNotice | undefined>;
   /** Called when a start becomes known to be shutting down, other than by an announcement. */
   readonly onDeparture: () => void;
   /** Called when the list that is published to the fleet has changed. */
@@ -126,7 +126,7 @@
    * Marks a start as shutting down: it gets no new requests from now on, even if delayed messages of it arrive later.
    * Without `born`, this applies to the latest start seen of the instance. Returns whether the start was not marked yet.
    */
-  leave(instanceId: string, born = this.seenStarts.latest(instanceId)): boolean {
+  markLeaving(instanceId: string, born = this.seenStarts.latest(instanceId)): boolean {
     const isNew = !this.departedStarts.has({ instanceId, born });
     this.departedStarts.add({ instanceId, born });
     for (const upstream of this.byService.values()) {
@@ -138,7 +138,7 @@
   }
 
   /** The upstreams that announced an instance id. */
-  get known(): KnownUpstream[] {
+  get identifiedUpstreams(): KnownUpstream[] {
     return [...this.byService.values()]
       .map(({ announcement }) => announcement)
       .filter(({ instanceId }) => instanceId !== '')
@@ -203,7 +203,7 @@
   }
 
   /** The lowest admission level of the local upstreams. */
-  lowestLevel(): number {
+  lowestAdmissionLevel(): number {
     return Math.min(...[...this.byService.values()].map(({ admission }) => admission.load().admissionLevel));
   }
 
@@ -211,7 +211,7 @@
    * Applies a notice that a peer sends back: it received the notice from an earlier process of this daemon, to which the
    * upstream of a service had reported it.
    */
-  told(service: string, { instanceId, born, requestsPerSecond, isLeaving }: UpstreamNotice): void {
+  applyPeerNotice(service: string, { instanceId, born, requestsPerSecond, isLeaving }: UpstreamNotice): void {
     if (isLeaving && instanceId !== '' && Number.isSafeInteger(born))
       this.reportDeparture({ instanceId, born });
     if (requestsPerSecond === undefined || !isValidRate(requestsPerSecond)) return;
@@ -269,7 +269,7 @@
         clock,
         rate: admission.rate,
         isRegistered: () => this.byService.get(service) === upstream,
-        fetchNotice: () => this.options.askNotice(service, address),
+        fetchNotice: () => this.options.fetchNotice(service, address),
       }),
       onConnectionRefused: () => this.remove(upstream, 'It refused a connection'),
       onReplaced: () => this.replace(upstream),
@@ -313,7 +313,7 @@
   }
 
   private reportDeparture({ instanceId, born }: Departure): void {
-    if (this.leave(instanceId, born)) this.options.onDeparture();
+    if (this.markLeaving(instanceId, born)) this.options.onDeparture();
   }
 
   /** Handles a heartbeat. Ignores delayed ones; an upstream that is shutting down stays so. */
--- a/tests/foreignWriters.spec.ts
+++ b/tests/foreignWriters.spec.ts
@@ -45,7 +45,8 @@
     await response.arrayBuffer();
     return response.status;
   };
-  const registered = () => fleet.nodes[0]!.daemon.upstreams.known.map(({ instanceId }) => instanceId);
+  const registered = () =>
+    fleet.nodes[0]!.daemon.upstreams.identifiedUpstreams.map(({ instanceId }) => instanceId);
   const expectServed = async () => expect((await fleet.ask(1)).status).to.equal(200);
 
   describe('in an announcement', () => {
@@ -61,7 +62,7 @@
     });
 
     it('does not register a service without configuration at the address of another upstream', async () => {
-      const { address } = fleet.nodes[0]!.daemon.upstreams.known[0]!;
+      const { address } = fleet.nodes[0]!.daemon.upstreams.identifiedUpstreams[0]!;
       const body = { service: 'unheard-of', address, slots: 4, state: 'ready', sequence: 1 };
       expect(await post('i-9', 'heartbeat', JSON.stringify(body))).to.be.within(400, 499);
       expect(registered()).to.deep.equal(['i-0']);
--- a/tests/platformLifetimes.spec.ts
+++ b/tests/platformLifetimes.spec.ts
@@ -46,8 +46,10 @@
     );
     node!.upstream.stopAnnouncing();
     await fleet.restart(node!);
-    await until(() => node!.daemon.upstreams.known.length > 0);
-    expect(node!.daemon.upstreams.known.map(known => known.instanceId)).to.deep.equal([instanceId]);
+    await until(() => node!.daemon.upstreams.identifiedUpstreams.length > 0);
+    expect(node!.daemon.upstreams.identifiedUpstreams.map(known => known.instanceId)).to.deep.equal([
+      instanceId,
+    ]);
   });
 
   it('are not restored by a restarted daemon if the store missed their shutdown', async () => {
@@ -60,7 +62,7 @@
     fleet.store.put('daemons', address, before);
     await fleet.restart(node!);
     await until(() => fleet.logged.some(({ msg }) => msg.includes('is not there any more')));
-    expect(node!.daemon.upstreams.known).to.deep.equal([]);
+    expect(node!.daemon.upstreams.identifiedUpstreams).to.deep.equal([]);
   });
 
   it('get no requests from a restarted daemon after their shutdown', async () => {
--- a/tests/readers.spec.ts
+++ b/tests/platformReaders.spec.ts
@@ -1,5 +1,5 @@
 import { ManualClock } from '@cleatquay/clock';
-import { Readers } from '@cleatquay/daemon';
+import { PlatformReaders } from '@cleatquay/daemon';
 import { type Member } from '@cleatquay/protocol';
 import { expect } from 'chai';
 
@@ -25,10 +25,10 @@
     const table = { get: (address: string) => members.get(address), all: () => members.values() };
     const aliveCount = () => members.size - 1;
     const membership = { me: members.get(self)!, table, lastHeardAt: heardAt, aliveCount };
-    return new Readers(clock, membership as never, members.get(self)!.failureDomain);
+    return new PlatformReaders(clock, membership as never, members.get(self)!.failureDomain);
   };
   const activeReaders = () =>
-    SAME_DOMAIN.filter(address => members.has(address) && readersSeenBy(address).isOnDuty);
+    SAME_DOMAIN.filter(address => members.has(address) && readersSeenBy(address).mustReadPlatform);
 
   it('selects two daemons of a failure domain, and others when these are gone', () => {
     const before = activeReaders();
@@ -47,9 +47,9 @@
 
   it('lets a daemon read that has received nothing from others for a while', () => {
     const view = readersSeenBy(SAME_DOMAIN.find(address => !activeReaders().includes(address))!);
-    expect(view.isOnDuty).to.equal(false);
+    expect(view.mustReadPlatform).to.equal(false);
     clock.advance(1600);
-    expect(view.isOnDuty).to.equal(true);
+    expect(view.mustReadPlatform).to.equal(true);
   });
 
   it('staggers the long polls of the readers, from the first one after a change on', () => {
@@ -61,9 +61,9 @@
 
   it('fetches a version from the readers of the same failure domain before a peer in another one', () => {
     const view = readersSeenBy(SAME_DOMAIN.find(address => !activeReaders().includes(address))!);
-    expect(activeReaders()).to.include(view.inOrder([OTHER_DOMAIN])[0]);
-    expect(view.inOrder([OTHER_DOMAIN]).at(-1)).to.equal(OTHER_DOMAIN);
-    expect(view.inOrder([OTHER_DOMAIN, SAME_DOMAIN[0]!])[0]).to.equal(SAME_DOMAIN[0]);
-    expect(view.patienceMs(OTHER_DOMAIN)).to.be.above(view.patienceMs(SAME_DOMAIN[0]!));
+    expect(activeReaders()).to.include(view.fetchOrder([OTHER_DOMAIN])[0]);
+    expect(view.fetchOrder([OTHER_DOMAIN]).at(-1)).to.equal(OTHER_DOMAIN);
+    expect(view.fetchOrder([OTHER_DOMAIN, SAME_DOMAIN[0]!])[0]).to.equal(SAME_DOMAIN[0]);
+    expect(view.fetchDelayMs(OTHER_DOMAIN)).to.be.above(view.fetchDelayMs(SAME_DOMAIN[0]!));
   });
 });
--- a/tests/pressureLog.spec.ts
+++ b/tests/pressureLog.spec.ts
@@ -17,7 +17,7 @@
   const addSamples = (lags: readonly number[]) => {
     for (const lag of lags) {
       clock.advance(50);
-      log.sampled(lag, lag > 200);
+      log.addSample(lag, lag > 200);
     }
   };
 
--- a/tests/rateLimit.spec.ts
+++ b/tests/rateLimit.spec.ts
@@ -170,7 +170,7 @@
         classes: () => 1,
         bounds: () => ({ maxQueueMs: 50 }),
         checkAddress: () => Promise.resolve(),
-        askNotice: () => {
+        fetchNotice: () => {
           healthChecks++;
           return Promise.resolve(healthNotice);
         },
@@ -230,7 +230,12 @@
       respond('none');
       expect(history().notice).to.equal(undefined);
       for (const requestsPerSecond of [-1, Number.NaN, Number.POSITIVE_INFINITY])
-        upstreams.told('history', { instanceId: 'a', born: 1, requestsPerSecond, isLeaving: false });
+        upstreams.applyPeerNotice('history', {
+          instanceId: 'a',
+          born: 1,
+          requestsPerSecond,
+          isLeaving: false,
+        });
       expect(perSecond()).to.equal(undefined);
     });
 
@@ -251,7 +256,12 @@
 
     it('of 0 that only peers report is probed at once, and once, however many report it', async () => {
       for (let i = 0; i < 10; i++) {
-        upstreams.told('history', { instanceId: 'a', born: 1, requestsPerSecond: 0, isLeaving: false });
+        upstreams.applyPeerNotice('history', {
+          instanceId: 'a',
+          born: 1,
+          requestsPerSecond: 0,
+          isLeaving: false,
+        });
         clock.advance(10);
         await new Promise(resolve => setImmediate(resolve));
       }
--- a/tests/upstreams.spec.ts
+++ b/tests/upstreams.spec.ts
@@ -24,7 +24,7 @@
       classes: () => 1,
       bounds: () => ({ maxQueueMs: 50 }),
       checkAddress: () => Promise.resolve(),
-      askNotice: () => Promise.resolve(undefined),
+      fetchNotice: () => Promise.resolve(undefined),
       onDeparture: () => void departures++,
       onChange: () => undefined,
       log: () => undefined,
@@ -45,7 +45,8 @@
       instanceId,
       ...change,
     });
-  const registered = () => upstreams.known.map(({ service, instanceId }) => `${service} ${instanceId}`);
+  const registered = () =>
+    upstreams.identifiedUpstreams.map(({ service, instanceId }) => `${service} ${instanceId}`);
 
   describe('a heartbeat delayed until the next instance has announced itself', () => {
     it('does not register its sender again', async () => {
@@ -83,7 +84,7 @@
       await announce('same', { born: 1000 });
       await announce('same', { born: 2000, address: '127.0.0.1:2' });
       await announce('same', { born: 1000, sequence: 900 });
-      expect(upstreams.known.map(({ address }) => address)).to.deep.equal(['127.0.0.1:2']);
+      expect(upstreams.identifiedUpstreams.map(({ address }) => address)).to.deep.equal(['127.0.0.1:2']);
       clock.advance(4 * HEARTBEAT_MS);
       await announce('same', { born: 1000, sequence: 901 });
       expect(registered()).to.deep.equal([]);
@@ -91,13 +92,13 @@
 
     it('is registered though the earlier one was shutting down, and is not affected by a delayed notice of that', async () => {
       await announce('same', { born: 1000 });
-      upstreams.leave('same', 1000);
+      upstreams.markLeaving('same', 1000);
       expect(upstreams.get('history')?.isDraining).to.equal(true);
       await announce('same', { born: 2000 });
       expect(upstreams.get('history')?.isDraining).to.equal(false);
-      upstreams.leave('same', 1000);
+      upstreams.markLeaving('same', 1000);
       expect(upstreams.get('history')?.isDraining).to.equal(false);
-      upstreams.leave('same', 2000);
+      upstreams.markLeaving('same', 2000);
       expect(upstreams.get('history')?.isDraining).to.equal(true);
     });
   });
@@ -155,7 +156,7 @@
     });
 
     it('is recorded when a peer reports the notice before the upstream announces itself', async () => {
-      upstreams.told('history', {
+      upstreams.applyPeerNotice('history', {
         instanceId: 'a',
         born: 1,
         requestsPerSecond: undefined,
@@ -177,7 +178,7 @@
 
     it('is ignored for an invalid start time', async () => {
       for (const born of [Number.NaN, 1.5, Number.POSITIVE_INFINITY])
-        upstreams.told('history', {
+        upstreams.applyPeerNotice('history', {
           instanceId: 'a',
           born,
           requestsPerSecond: undefined,
