--- a/packages/calls/src/authenticator.ts
+++ b/packages/calls/src/authenticator.ts
@@ -49,7 +49,7 @@
       return refusalOf('keyMissing', `Expected one key, found ${found}.`);
     }
     if (!this.options.areRevocationsCurrent()) return this.revocationsUnproven();
-    const organisation = keyring.holderOf(credentials.keyDigest);
+    const organisation = keyring.organisationOf(credentials.keyDigest);
     return organisation ? { organisation } : refusalOf('keyUnknown', 'No organisation holds the key.');
   }
 
--- a/packages/calls/src/fingerprintedRequest.ts
+++ b/packages/calls/src/fingerprintedRequest.ts
@@ -25,7 +25,7 @@
    * is sent to another upstream.
    */
   headFields(quarantine: Quarantine): Pick<RequestHead, 'fingerprint' | 'endedStarts'> {
-    const endedStarts = quarantine.isEmpty ? [] : quarantine.startsUnder(this.fingerprint);
+    const endedStarts = quarantine.isEmpty ? [] : quarantine.crashedUnder(this.fingerprint);
     if (endedStarts.length === 0 && this.body.completeBody) return NO_FINGERPRINT;
     return { fingerprint: this.fingerprint, endedStarts };
   }
@@ -38,6 +38,6 @@
 
   /** Records that an upstream sent a complete response to it. */
   recordResponse(quarantine: Quarantine): void {
-    quarantine.answered(this.head, this.body.bufferedStart, () => this.fingerprint);
+    quarantine.recordResponse(this.head, this.body.bufferedStart, () => this.fingerprint);
   }
 }
--- a/packages/calls/src/forwarder.ts
+++ b/packages/calls/src/forwarder.ts
@@ -87,7 +87,7 @@
   ): Promise<CallResponse> {
     const { clock, router, retries, freeReroutes: freeMoves, journal, quarantine } = this.options;
     const startedAt = clock.now();
-    if (quarantine.known) await quarantine.known;
+    if (quarantine.loaded) await quarantine.loaded;
     const fingerprinted = new FingerprintedRequest(head, body);
     if (!body.completeBody) await body.prefetch();
     retries.countRequest(route.service, context.isRepeat);
@@ -152,7 +152,7 @@
         why: lastAttempt.refusal.message,
       });
       if (lastAttempt.refusal.endedStart !== '')
-        quarantine.endedUnder(fingerprinted.suspect, lastAttempt.refusal.endedStart);
+        quarantine.recordRemoteCrash(fingerprinted.suspect, lastAttempt.refusal.endedStart);
       tried.add(candidate.address);
       if (signal.aborted || !body.isReplayable) return refuse(lastAttempt.refusal);
       const { refusal } = lastAttempt;
@@ -172,7 +172,7 @@
     const { quarantine, journal } = this.options;
     if (quarantine.isEmpty) return undefined;
     const { fingerprint } = fingerprinted;
-    if (quarantine.standingOf(fingerprint) !== 'held') return undefined;
+    if (quarantine.statusOf(fingerprint) !== 'held') return undefined;
     journal.record(requestId, 'Quarantined: upstreams crashed while they ran it.', { fingerprint });
     return quarantineRefusal(quarantine.retryAfterMs(fingerprint));
   }
--- a/packages/calls/src/quotaGate.ts
+++ b/packages/calls/src/quotaGate.ts
@@ -6,8 +6,8 @@
   type OrganisationCounts,
   type Quota,
   type Quotas,
-  type RequestEnd,
-  type Taken,
+  type RequestDisposition,
+  type QuotaDecision,
 } from '@cleatquay/organisations';
 import { type CallContext, type Refusal, endOf, refusalOf } from '@cleatquay/protocol';
 import { type CallResponse, singlePartResponse } from './callHandler.js';
@@ -42,7 +42,7 @@
   ): Promise<CallResponse> {
     const { name, quota } = organisation;
     const response = await (quota ? this.withinQuota(name, quota, context, forward) : forward(context));
-    this.options.counts.ended(name, dispositionOf(response));
+    this.options.counts.record(name, dispositionOf(response));
     return response;
   }
 
@@ -60,11 +60,11 @@
   ): Promise<CallResponse> {
     const { clock, quotas } = this.options;
     const startedAt = clock.now();
-    const taken = await quotas().take(organisation, quota);
+    const taken = await quotas().acquire(organisation, quota);
     if (taken.kind !== 'taken') return this.refuse(context, organisation, quota, taken);
     const remainingMs = Math.max(1, Math.floor(context.remainingMs - (clock.now() - startedAt)));
     const response = await forward({ ...context, remainingMs });
-    if (response.first.refusal?.outcome === 'not-run') quotas().giveBack(organisation, taken.at);
+    if (response.first.refusal?.outcome === 'not-run') quotas().refund(organisation, taken.at);
     return response;
   }
 
@@ -72,7 +72,7 @@
     { requestId, retryTokens }: CallContext,
     organisation: string,
     quota: Quota,
-    taken: Exclude<Taken, { kind: 'taken' }>,
+    taken: Exclude<QuotaDecision, { kind: 'taken' }>,
   ): CallResponse {
     const { journal } = this.options;
     const facts = { ...this.factsOf(organisation), ...quota, ...taken };
@@ -83,7 +83,7 @@
   }
 }
 
-function refusalFor(organisation: string, taken: Exclude<Taken, { kind: 'taken' }>): Refusal {
+function refusalFor(organisation: string, taken: Exclude<QuotaDecision, { kind: 'taken' }>): Refusal {
   if (taken.kind === 'unknown')
     return refusalOf('quotaUnreachable', 'No quota coordinator responded in time.', {
       retryAfterMs: QUOTA_UNREACHABLE_RETRY_AFTER_MS,
@@ -93,7 +93,7 @@
   });
 }
 
-function dispositionOf({ first: { refusal, head } }: CallResponse): RequestEnd {
+function dispositionOf({ first: { refusal, head } }: CallResponse): RequestDisposition {
   if (refusal?.code === resultCodes.quotaExceeded.code) return 'over-quota';
   if (refusal) return refusal.outcome === 'not-run' ? 'refused' : 'failed';
   return (head?.status ?? 0) < MIN_SERVER_ERROR_STATUS ? 'answered' : 'failed';
--- a/packages/calls/src/upstreamDispatcher.ts
+++ b/packages/calls/src/upstreamDispatcher.ts
@@ -23,7 +23,7 @@
   endOf,
   refusalOf,
 } from '@cleatquay/protocol';
-import { Isolation, type Quarantine, type Standing } from '@cleatquay/quarantine';
+import { SuspectSemaphore, type Quarantine, type QuarantineStatus } from '@cleatquay/quarantine';
 import { toCallResponse } from './responses.js';
 import { type CallResponse, type CallBody, type CallRoute, singlePartResponse } from './callHandler.js';
 import { parseHeaderBlock, forwardedHeaders } from './headers.js';
@@ -85,7 +85,7 @@
 
 /** Serves calls for the local upstreams. */
 export class UpstreamDispatcher {
-  private readonly isolation = new Isolation();
+  private readonly isolation = new SuspectSemaphore();
 
   constructor(private readonly options: UpstreamDispatcherOptions) {}
 
@@ -101,7 +101,7 @@
       return withNotice(singlePartResponse(endOf(refusal, context?.retryTokens ?? 0)), upstream);
     }
     const { quarantine, clock } = this.options;
-    for (const start of head.endedStarts) quarantine.endedUnder(head, start);
+    for (const start of head.endedStarts) quarantine.recordRemoteCrash(head, start);
     const call = { head, context, route, upstream, body, arrivedAt: clock.now() };
     const isFree = this.standingOf(call) === 'free';
     const response = await (isFree ? this.serve(call, signal) : this.serveIsolated(call, signal));
@@ -109,10 +109,10 @@
   }
 
   /** The fingerprint of a call is computed only while there are suspects. */
-  private standingOf({ head, body }: Pick<IncomingCall, 'head' | 'body'>): Standing {
+  private standingOf({ head, body }: Pick<IncomingCall, 'head' | 'body'>): QuarantineStatus {
     const { quarantine } = this.options;
     const fingerprint = quarantine.isEmpty ? undefined : receivedFingerprint(head, body);
-    return fingerprint === undefined ? 'free' : quarantine.standingOf(fingerprint);
+    return fingerprint === undefined ? 'free' : quarantine.statusOf(fingerprint);
   }
 
   /**
@@ -122,7 +122,7 @@
   private async serveIsolated(call: IncomingCall, signal: CancelSignal): Promise<CallResponse> {
     const { head, context, route, upstream } = call;
     const room = this.standingOf(call) === 'strong-suspect' ? 'all-places' : 'a-place';
-    using place = await this.isolation.enter(upstream.start, room, signal);
+    using place = await this.isolation.acquire(upstream.start, room, signal);
     void place;
     if (this.standingOf(call) === 'held') return this.refuseQuarantined(call);
     const lateRefusal = this.refuseEarly(context, route, this.options.upstream(head.service));
--- a/packages/cli/src/fleetCommands.ts
+++ b/packages/cli/src/fleetCommands.ts
@@ -1,7 +1,7 @@
 /** Commands on running daemons, such as status, drain and explain, and waiting until a generation is active. */
 import { type Clock } from '@cleatquay/clock';
 import { Failure, type ResultName } from '@cleatquay/errors';
-import { type EndCounts, type RequestEnd } from '@cleatquay/organisations';
+import { type DispositionCounts, type RequestDisposition } from '@cleatquay/organisations';
 import { request } from 'undici';
 import { table } from './output.js';
 
@@ -107,7 +107,7 @@
     const up = members.filter(({ state }) => state === 'ALIVE');
     const counts = await Promise.all(
       up.map(({ operatorAddress }) =>
-        requestJson<Record<string, EndCounts>>(operatorAddress, 'GET', '/organisations').catch(
+        requestJson<Record<string, DispositionCounts>>(operatorAddress, 'GET', '/organisations').catch(
           () => undefined,
         ),
       ),
@@ -187,9 +187,9 @@
 }
 
 /** Sums the counts of all daemons, most requests first. */
-function organisationRows(counts: readonly Record<string, EndCounts>[]): (string | number)[][] {
+function organisationRows(counts: readonly Record<string, DispositionCounts>[]): (string | number)[][] {
   const names = [...new Set(counts.flatMap(count => Object.keys(count)))];
-  const sum = (name: string, end: RequestEnd) =>
+  const sum = (name: string, end: RequestDisposition) =>
     counts.reduce((total, count) => total + (count[name]?.[end] ?? 0), 0);
   const rows = names.map(name => {
     const ends = (['answered', 'over-quota', 'refused', 'failed'] as const).map(end => sum(name, end));
--- a/packages/daemon/src/callerResponse.ts
+++ b/packages/daemon/src/callerResponse.ts
@@ -9,7 +9,7 @@
   STRIPPED_HEADERS_WITH_AUTHORIZATION,
   forwardedRawHeaders,
 } from '@cleatquay/calls';
-import { credentialsIn } from '@cleatquay/organisations';
+import { parseCredentials } from '@cleatquay/organisations';
 import { Failure, resultByCode, resultCodes } from '@cleatquay/errors';
 import { type AnswerHead, type AnswerPart, type Refusal, refusalOf } from '@cleatquay/protocol';
 import { once } from 'node:events';
@@ -39,7 +39,7 @@
       request.rawHeaders,
       needsKeys ? STRIPPED_HEADERS_WITH_AUTHORIZATION : STRIPPED_HEADERS,
     ),
-    credentials: needsKeys ? credentialsIn(request.rawHeaders, AUTHORIZATION_HEADER) : 'none',
+    credentials: needsKeys ? parseCredentials(request.rawHeaders, AUTHORIZATION_HEADER) : 'none',
     requestId: headerValue(request, headerNames.requestId),
     idempotencyKey: headerValue(request, headerNames.idempotencyKey),
     parent: headerValue(request, headerNames.parent),
--- a/packages/daemon/src/createFleetQuotas.ts
+++ b/packages/daemon/src/createFleetQuotas.ts
@@ -33,8 +33,8 @@
     self: membership.me.gossipAddress,
     failureDomain,
     members: () => [...membership.table.all()].filter(({ state }) => state === 'ALIVE'),
-    sharers: () => (knowsFleet() ? membership.countLately(failureDomain, PARTITION_GRACE_MS) : undefined),
-    ask: (to, question) => membership.askForQuota(to, question),
-    answer: (to, answer) => membership.answerForQuota(to, answer),
+    shareCount: () => (knowsFleet() ? membership.countLately(failureDomain, PARTITION_GRACE_MS) : undefined),
+    sendRequest: (to, question) => membership.askForQuota(to, question),
+    sendResponse: (to, answer) => membership.answerForQuota(to, answer),
   });
 }
--- a/packages/daemon/src/daemonCore.ts
+++ b/packages/daemon/src/daemonCore.ts
@@ -138,7 +138,7 @@
       random,
       table: options.quarantineTable,
       service: options.localService,
-      spread: finding => this.membership.spread(finding),
+      broadcast: finding => this.membership.spread(finding),
       log: (message, facts) => quarantineLog.warn(facts, `Quarantine: ${message}`),
     });
     this.membership = new Membership({
@@ -157,7 +157,7 @@
       findings: {
         digest: () => this.quarantine.digest,
         verdicts: () => this.quarantine.findings,
-        heard: finding => this.quarantine.heard(finding),
+        heard: finding => this.quarantine.handleFinding(finding),
       },
       ...(options.quotas && { quotas: options.quotas }),
       ...(options.freshness && { proofs: freshnessProofs(options.freshness) }),
@@ -249,7 +249,7 @@
       { part: 'upstreams', start, running: requests.length, requests: logged },
       CRASH_MESSAGE,
     );
-    return this.quarantine.upstreamEnded(start, requests);
+    return this.quarantine.recordLocalCrash(start, requests);
   }
 
   private exchange(head: RequestHead, body: CallBody, signal: CancelSignal): Promise<CallResponse> {
--- a/packages/daemon/src/organisationServices.ts
+++ b/packages/daemon/src/organisationServices.ts
@@ -54,8 +54,8 @@
   /** Handlers for the quota messages that membership receives. */
   get quotaHandlers(): QuotaHandlers {
     return {
-      heardQuestion: (question, from) => this.quotas.heardQuestion(question, from),
-      heardAnswer: (answer, from) => this.quotas.heardAnswer(answer, from),
+      heardQuestion: (question, from) => this.quotas.handleRequest(question, from),
+      heardAnswer: (answer, from) => this.quotas.handleResponse(answer, from),
     };
   }
 
@@ -80,7 +80,7 @@
   onConfigurationAdopted(): void {
     const organisations = this.options.keyring()?.organisations ?? [];
     this.quotas.adopt(organisations);
-    this.counts.keepOnly(new Set(organisations.map(({ name }) => name)));
+    this.counts.retain(new Set(organisations.map(({ name }) => name)));
   }
 
   /** Starts to renew freshness proofs. */
--- a/packages/daemon/src/relayGateway.ts
+++ b/packages/daemon/src/relayGateway.ts
@@ -9,7 +9,7 @@
 } from '@cleatquay/calls';
 import { Failure, asFailure } from '@cleatquay/errors';
 import { type Refusal, refusalOf } from '@cleatquay/protocol';
-import { type Credentials, credentialsIn } from '@cleatquay/organisations';
+import { type Credentials, parseCredentials } from '@cleatquay/organisations';
 import { type RouteLimits } from '@cleatquay/routes';
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import {
@@ -147,7 +147,7 @@
 
   private credentialsOf({ rawHeaders }: IncomingMessage): Credentials {
     const { dialect, needsKeys } = this.options;
-    return needsKeys() ? credentialsIn(rawHeaders, dialect.credentialsHeader) : 'none';
+    return needsKeys() ? parseCredentials(rawHeaders, dialect.credentialsHeader) : 'none';
   }
 
   private bodyOf(request: IncomingMessage): CallBody {
--- a/packages/organisations/src/credentials.ts
+++ b/packages/organisations/src/credentials.ts
@@ -14,7 +14,7 @@
 }
 
 /** Parses the credentials in a header (lower-case name) of node's raw headers, alternating names and values. */
-export function credentialsIn(rawHeaders: readonly string[], header: string): Credentials {
+export function parseCredentials(rawHeaders: readonly string[], header: string): Credentials {
   let found: string | undefined;
   for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
     const name = rawHeaders[i] ?? '';
--- a/packages/organisations/src/index.ts
+++ b/packages/organisations/src/index.ts
@@ -1,12 +1,12 @@
 /** Organisations that send requests: identification by API key, priorities and quotas. */
-export { type Credentials, credentialsIn, digestOfKey } from './credentials.js';
-export { type QuotaMember } from './holders.js';
+export { type Credentials, parseCredentials, digestOfKey } from './credentials.js';
+export { type QuotaMember } from './coordinatorDirectory.js';
 export { Quotas, type QuotasOptions } from './quotas.js';
-export { type Taken } from './quotaQueue.js';
-export { type QuotaDivision, QuotaBuckets } from './quotaPots.js';
-export { LEASE_MS, ShareLeases } from './shareLoans.js';
+export { type QuotaDecision } from './quotaQueue.js';
+export { type QuotaDivision, QuotaBuckets } from './quotaBuckets.js';
+export { LEASE_MS, ShareLeases } from './shareLeases.js';
 export { SHARD_COUNT, coordinatorOf, shardOf } from './shards.js';
-export { Ranks } from './ranks.js';
+export { PriorityClasses } from './priorityClasses.js';
 export { Keyring } from './keyring.js';
-export { type EndCounts, OrganisationCounts, type RequestEnd } from './organisationCounts.js';
+export { type DispositionCounts, OrganisationCounts, type RequestDisposition } from './organisationCounts.js';
 export { type Organisation, type Quota } from './organisation.js';
--- a/packages/organisations/src/keyring.ts
+++ b/packages/organisations/src/keyring.ts
@@ -24,7 +24,7 @@
   }
 
   /** Undefined if no organisation has the key. */
-  holderOf(keyDigest: string): Organisation | undefined {
+  organisationOf(keyDigest: string): Organisation | undefined {
     return this.byDigest.get(keyDigest);
   }
 }
--- a/packages/organisations/src/ranks.ts
+++ b/packages/organisations/src/priorityClasses.ts
@@ -18,7 +18,7 @@
 }
 
 /** The classes of all pairs of ranks in a configuration. */
-export class Ranks {
+export class PriorityClasses {
   private readonly classes = new Map<string, number>();
   /** Number of classes; at least 1. */
   readonly count: number;
@@ -35,7 +35,7 @@
   }
 
   /** The class of a request, 0 for the highest priority; without `organisationRank`, only the route's rank counts. */
-  of(route: number, organisationRank: number | undefined): number {
+  classOf(route: number, organisationRank: number | undefined): number {
     return this.classes.get(keyOf({ primary: organisationRank ?? route, route })) ?? route;
   }
 }
--- a/packages/organisations/src/quotaPots.ts
+++ b/packages/organisations/src/quotaBuckets.ts
@@ -6,7 +6,7 @@
  * domain's whole part of the quota.
  */
 import { type Quota } from './organisation.js';
-import { ShareLeases } from './shareLoans.js';
+import { ShareLeases } from './shareLeases.js';
 
 /** Requests may be granted ahead and delayed up to this long: a short wait is better than a refusal, and far below any timeout. */
 const MAX_DELAY_MS = 150;
--- a/packages/organisations/src/quotaHolder.ts
+++ b/packages/organisations/src/quotaCoordinator.ts
@@ -7,8 +7,8 @@
   type ShareLoan,
 } from '@cleatquay/protocol';
 import { type Quota } from './organisation.js';
-import { type QuotaDivision, QuotaBuckets } from './quotaPots.js';
-import { LEASE_MS } from './shareLoans.js';
+import { type QuotaDivision, QuotaBuckets } from './quotaBuckets.js';
+import { LEASE_MS } from './shareLeases.js';
 import { SHARD_COUNT, shardOf } from './shards.js';
 
 /**
--- a/packages/organisations/src/quotaQueue.ts
+++ b/packages/organisations/src/quotaQueue.ts
@@ -1,7 +1,7 @@
 /** Requests of one daemon that wait for tokens of their organisations' quotas, in order of arrival. */
 
 /** The quota's decision on a request. */
-export type Taken =
+export type QuotaDecision =
   | { readonly kind: 'taken'; readonly at: number }
   /** The quota is exhausted. */
   | { readonly kind: 'over'; readonly retryAfterMs: number }
@@ -9,7 +9,7 @@
   | { readonly kind: 'unknown' };
 
 interface Waiter {
-  readonly settle: (decision: Taken) => void;
+  readonly settle: (decision: QuotaDecision) => void;
   readonly enqueuedAt: number;
   /** When tokens for it were last requested. */
   requestedAt: number;
@@ -28,7 +28,7 @@
   }
 
   /** Queues a request until a decision about it is known. */
-  enqueue(organisation: string, now: number): Promise<Taken> {
+  enqueue(organisation: string, now: number): Promise<QuotaDecision> {
     return new Promise(settle => {
       const queue = this.waiting.get(organisation) ?? [];
       queue.push({ settle, enqueuedAt: now, requestedAt: NEVER });
@@ -52,7 +52,7 @@
   }
 
   /** Removes an organisation's first `count` requests and returns the callbacks that settle them. */
-  dequeue(organisation: string, count: number): ((decision: Taken) => void)[] {
+  dequeue(organisation: string, count: number): ((decision: QuotaDecision) => void)[] {
     const queue = this.waiting.get(organisation) ?? [];
     const first = queue.splice(0, count);
     if (queue.length === 0) this.waiting.delete(organisation);
--- a/packages/organisations/src/quotas.ts
+++ b/packages/organisations/src/quotas.ts
@@ -5,11 +5,11 @@
 import { type Clock, type Random, type Timer } from '@cleatquay/clock';
 import { type QuotaAnswer, type QuotaGrant, type QuotaQuestion } from '@cleatquay/protocol';
 import { type Organisation, type Quota } from './organisation.js';
-import { CoordinatorDirectory, type CoordinatorDirectoryOptions } from './holders.js';
-import { QuotaCoordinator, type QuotaCoordinatorOptions } from './quotaHolder.js';
-import { QuotaQueue, type Taken } from './quotaQueue.js';
-import { ShareLessor } from './shareLender.js';
-import { LEASE_MS } from './shareLoans.js';
+import { CoordinatorDirectory, type CoordinatorDirectoryOptions } from './coordinatorDirectory.js';
+import { QuotaCoordinator, type QuotaCoordinatorOptions } from './quotaCoordinator.js';
+import { QuotaQueue, type QuotaDecision } from './quotaQueue.js';
+import { ShareLessor } from './shareLessor.js';
+import { LEASE_MS } from './shareLeases.js';
 import { SHARD_COUNT, shardOf } from './shards.js';
 
 /** Interval of lease renewals: a lease survives two lost datagrams in a row. */
@@ -39,9 +39,9 @@
    * Number of shares into which this failure domain's quotas are split, counting failed daemons that may only
    * be partitioned; undefined while unknown.
    */
-  readonly sharers: () => number | undefined;
-  readonly ask: (to: string, request: QuotaQuestion) => void;
-  readonly answer: (to: string, response: QuotaAnswer) => void;
+  readonly shareCount: () => number | undefined;
+  readonly sendRequest: (to: string, request: QuotaQuestion) => void;
+  readonly sendResponse: (to: string, response: QuotaAnswer) => void;
 }
 
 interface PendingRequest {
@@ -105,7 +105,7 @@
   }
 
   /** Decides on one request, synchronously if this daemon is the coordinator. */
-  take(organisation: string, quota: Quota): Taken | Promise<Taken> {
+  acquire(organisation: string, quota: Quota): QuotaDecision | Promise<QuotaDecision> {
     const now = this.options.clock.now();
     if (this.takeRefund(organisation, now)) return this.count({ kind: 'taken', at: now });
     const exhausted = this.exhausted.get(organisation);
@@ -119,7 +119,7 @@
     );
   }
 
-  private enqueue(shard: number, organisation: string, now: number): Promise<Taken> {
+  private enqueue(shard: number, organisation: string, now: number): Promise<QuotaDecision> {
     this.scheduleFlush();
     this.scheduleResendTick();
     return this.shardAt(shard)
@@ -128,7 +128,7 @@
   }
 
   /** Returns the token of a request that was never run. */
-  giveBack(organisation: string, takenAt: number): void {
+  refund(organisation: string, takenAt: number): void {
     const until = takenAt + REFUND_LIFETIME_MS;
     if (this.options.clock.now() >= until) return;
     const refunds = this.refunds.get(organisation);
@@ -137,9 +137,9 @@
   }
 
   /** Handles a quota request of another daemon. */
-  heardQuestion(request: QuotaQuestion, from: string): void {
+  handleRequest(request: QuotaQuestion, from: string): void {
     if (request.shard >= SHARD_COUNT) return;
-    this.options.answer(from, this.coordinator.handleRequest(request, from));
+    this.options.sendResponse(from, this.coordinator.handleRequest(request, from));
     if (request.isTransfer) return;
     const now = this.options.clock.now();
     for (const { organisation } of request.asks) {
@@ -149,7 +149,7 @@
   }
 
   /** Handles a coordinator's response. */
-  heardAnswer(response: QuotaAnswer, from: string): void {
+  handleResponse(response: QuotaAnswer, from: string): void {
     const now = this.options.clock.now();
     const request = this.pending.get(response.number);
     this.pending.delete(response.number);
@@ -177,7 +177,7 @@
     return ms * (0.5 + this.options.random());
   }
 
-  private count(decision: Taken): Taken {
+  private count(decision: QuotaDecision): QuotaDecision {
     this.counts[decision.kind]++;
     return decision;
   }
@@ -197,7 +197,7 @@
     organisation: string,
     quota: Quota,
     now: number,
-  ): Taken | Promise<Taken> | undefined {
+  ): QuotaDecision | Promise<QuotaDecision> | undefined {
     this.leaseToSelf(shardOf(organisation), now);
     const { requests, delayMs, retryAfterMs, unknown } = this.coordinator.grant(organisation, 1);
     this.requestTransfers(organisation, quota, now);
@@ -228,7 +228,7 @@
     if (delayMs > 0) clock.after(delayMs, admit);
     else admit();
     // Tokens were requested twice, since the first response was late.
-    for (let i = admitted.length; i < granted; i++) this.giveBack(organisation, at);
+    for (let i = admitted.length; i < granted; i++) this.refund(organisation, at);
   }
 
   /** Batches the requests of one event loop iteration into one datagram. */
@@ -286,7 +286,7 @@
     const requests = shard.queue.takeUnrequested(now - RESEND_AFTER_MS, now);
     if (requests.size === 0 && now - shard.lastSentAt < LEASE_RENEWAL_MS) return;
     shard.lastSentAt = now;
-    const shareCount = this.options.sharers();
+    const shareCount = this.options.shareCount();
     const loan = shareCount === undefined ? undefined : shard.lessor.leaseTo(to, 1 / shareCount, now);
     this.send({ to, sentAt: now, shard: index, requests, isTransfer: false }, loan);
   }
@@ -300,7 +300,7 @@
   }
 
   private leaseToSelf(index: number, now: number): void {
-    const { self, sharers: countShares } = this.options;
+    const { self, shareCount: countShares } = this.options;
     const count = countShares();
     if (count === undefined || !this.shardAt(index).lessor.lease(self, now, now)) return;
     this.coordinator.acceptLease(index, self, 1 / count, this.options.now() + LEASE_MS);
@@ -311,7 +311,7 @@
     this.pending.set(number, request);
     const { shard, requests, isTransfer } = request;
     const asks = [...requests].map(([organisation, count]) => ({ organisation, requests: count }));
-    this.options.ask(request.to, { number, shard, asks, loan, isTransfer });
+    this.options.sendRequest(request.to, { number, shard, asks, loan, isTransfer });
   }
 
   /** Requests tokens from other failure domains when a bucket runs low, before it is empty. */
--- a/packages/organisations/src/shareLender.ts
+++ b/packages/organisations/src/shareLessor.ts
@@ -1,6 +1,6 @@
 /** Leases this daemon's share of its failure domain's quotas to one coordinator at a time. */
 import { type ShareLoan } from '@cleatquay/protocol';
-import { LEASE_MS } from './shareLoans.js';
+import { LEASE_MS } from './shareLeases.js';
 
 /** Tolerated ratio of the lessor's clock rate to the coordinator's. */
 const CLOCK_MARGIN = 1.04;
--- a/packages/quarantine/src/index.ts
+++ b/packages/quarantine/src/index.ts
@@ -1,9 +1,14 @@
 /** Detection and quarantine of queries of death: requests that crash the upstreams that process them. */
-export { CrashHistory, type Crash } from './evidence.js';
+export { CrashHistory, type Crash } from './crashHistory.js';
 export { type FingerprintHead, FINGERPRINT_DIGITS, fingerprintOf } from './fingerprint.js';
 export { findingOf, fingerprintsIn } from './findings.js';
-export { Isolation, type Permits } from './isolation.js';
-export { Quarantine, type QuarantineOptions, type Standing, type SuspectRequest } from './quarantine.js';
+export { SuspectSemaphore, type Permits } from './suspectSemaphore.js';
+export {
+  Quarantine,
+  type QuarantineOptions,
+  type QuarantineStatus,
+  type SuspectRequest,
+} from './quarantine.js';
 export {
   type RecordedCrash,
   type ListedQuarantineRow,
@@ -12,5 +17,5 @@
   type QuarantineTable,
   type QuarantineWrite,
 } from './quarantineTable.js';
-export { RecentResponses } from './recentAnswers.js';
+export { RecentResponses } from './recentResponses.js';
 export { type Verdict, Verdicts, isQuarantined } from './verdicts.js';
--- a/packages/quarantine/src/quarantine.ts
+++ b/packages/quarantine/src/quarantine.ts
@@ -10,7 +10,7 @@
  */
 import { type Clock, type Random, type Timer } from '@cleatquay/clock';
 import { type Finding } from '@cleatquay/protocol';
-import { CrashHistory } from './evidence.js';
+import { CrashHistory } from './crashHistory.js';
 import { type FingerprintHead } from './fingerprint.js';
 import {
   MAX_ASKS_CHARS,
@@ -21,8 +21,8 @@
   isValidFinding,
 } from './findings.js';
 import { type QuarantineRow, type QuarantineTable } from './quarantineTable.js';
-import { RecentResponses } from './recentAnswers.js';
-import { QuarantinePersistence } from './recordKeeper.js';
+import { RecentResponses } from './recentResponses.js';
+import { QuarantinePersistence } from './quarantinePersistence.js';
 import { type Verdict, Verdicts, isQuarantined } from './verdicts.js';
 
 /** Crashes until a request is quarantined: one can be a coincidence, two can be due to another request. */
@@ -40,7 +40,7 @@
 const MAX_VERDICT_STARTS = 4;
 
 /** Whether a request may run: without restrictions, next to few other suspects, next to none, or not at all. */
-export type Standing = 'free' | 'suspect' | 'strong-suspect' | 'held';
+export type QuarantineStatus = 'free' | 'suspect' | 'strong-suspect' | 'held';
 
 /** A request that was in flight when an upstream crashed. */
 export interface SuspectRequest extends Pick<FingerprintHead, 'method' | 'path'> {
@@ -61,7 +61,7 @@
   /** Service of the local upstream. */
   readonly service: string;
   /** Sends the finding to all other daemons. */
-  readonly spread: (finding: Finding) => void;
+  readonly broadcast: (finding: Finding) => void;
   readonly log: (message: string, facts: object) => void;
 }
 
@@ -96,7 +96,7 @@
   }
 
   /** Resolves when the stored rows are loaded or the maximum wait is over; undefined from then on. */
-  get known(): Promise<void> | undefined {
+  get loaded(): Promise<void> | undefined {
     return this.persistence.loaded;
   }
 
@@ -129,7 +129,7 @@
     };
   }
 
-  standingOf(fingerprint: string): Standing {
+  statusOf(fingerprint: string): QuarantineStatus {
     if (this.verdicts.isQuarantined(fingerprint)) return 'held';
     const crashes = this.crashes.crashedUnder(fingerprint).length;
     if (crashes >= QUARANTINE_CRASHES) return 'held';
@@ -146,7 +146,7 @@
    * Reports that the local upstream crashed with these requests in flight. Resolves when the other daemons'
    * stored crashes are loaded, or the maximum wait is over.
    */
-  async upstreamEnded(start: string, requests: readonly SuspectRequest[]): Promise<void> {
+  async recordLocalCrash(start: string, requests: readonly SuspectRequest[]): Promise<void> {
     if (requests.length === 0) return;
     for (const { fingerprint, method, path } of requests)
       this.setDescription(fingerprint, `${method} ${path}`);
@@ -161,7 +161,7 @@
   }
 
   /** Process starts that crashed with the request in flight, to forward to the daemon that the request is sent to. */
-  startsUnder(fingerprint: string): string[] {
+  crashedUnder(fingerprint: string): string[] {
     return this.crashes.crashedUnder(fingerprint);
   }
 
@@ -169,19 +169,19 @@
    * Reports that a request that this daemon sent was in flight when a remote upstream crashed; that VM's daemon
    * may fail before it reports it.
    */
-  endedUnder({ fingerprint, method, path }: SuspectRequest, start: string): void {
+  recordRemoteCrash({ fingerprint, method, path }: SuspectRequest, start: string): void {
     this.setDescription(fingerprint, `${method} ${path}`);
     this.publish(findingOf('ENDED', [start], [fingerprint]));
   }
 
   /** Records that an upstream sent a complete response. The fingerprint is only computed if there are suspects. */
-  answered(head: FingerprintHead, body: Uint8Array, fingerprint: () => string): void {
+  recordResponse(head: FingerprintHead, body: Uint8Array, fingerprint: () => string): void {
     this.responses.add(head, body);
     if (this.crashes.suspectCount > 0) this.clearFromKnownCrashes(fingerprint());
   }
 
   /** Handles a finding of another daemon; returns whether it was new, so that the caller forwards it. */
-  heard(finding: Finding): boolean {
+  handleFinding(finding: Finding): boolean {
     if (!isValidFinding(finding)) return false;
     const { kind, starts, revision, asks } = finding;
     const fingerprints = fingerprintsIn(finding);
@@ -224,7 +224,7 @@
   }
 
   private publish(finding: Finding): void {
-    if (this.heard(finding)) this.options.spread(finding);
+    if (this.handleFinding(finding)) this.options.broadcast(finding);
   }
 
   private addCrash(start: string, fingerprints: readonly string[]): boolean {
@@ -284,7 +284,7 @@
   }
 
   private publishVerdict(verdict: Verdict, from: 'its crashes' | 'an operator'): void {
-    if (this.applyVerdict(verdict, from)) this.options.spread(findingOfVerdict(verdict));
+    if (this.applyVerdict(verdict, from)) this.options.broadcast(findingOfVerdict(verdict));
   }
 
   /** Applies a newer verdict; daemons that saw one of its crashes store it. A release clears the request of all crashes so far. */
@@ -310,7 +310,7 @@
   private applyRow({ ends, verdicts }: QuarantineRow): void {
     for (const verdict of verdicts) {
       if (verdict.asks !== '') this.setDescription(verdict.fingerprint, verdict.asks);
-      if (this.applyVerdict(verdict, 'a stored row')) this.options.spread(findingOfVerdict(verdict));
+      if (this.applyVerdict(verdict, 'a stored row')) this.options.broadcast(findingOfVerdict(verdict));
     }
     for (const { start, fingerprints } of ends) this.applyCrash(start, fingerprints);
   }
--- a/packages/quarantine/src/recordKeeper.ts
+++ b/packages/quarantine/src/quarantinePersistence.ts
@@ -6,7 +6,7 @@
 import { type Clock, type Random, type Timer } from '@cleatquay/clock';
 import { asFailure } from '@cleatquay/errors';
 import { type ListedQuarantineRow, type QuarantineRow, type QuarantineTable } from './quarantineTable.js';
-import { type Crash } from './evidence.js';
+import { type Crash } from './crashHistory.js';
 import { type Verdict } from './verdicts.js';
 
 /** Longest wait of requests for the first read after a daemon's start, about ten times the usual duration. */
--- a/packages/quarantine/src/quarantineTable.ts
+++ b/packages/quarantine/src/quarantineTable.ts
@@ -1,5 +1,5 @@
 /** Storage that outlives all daemons: one row per service in the platform's table. */
-import { type Crash } from './evidence.js';
+import { type Crash } from './crashHistory.js';
 import { type Verdict } from './verdicts.js';
 
 /** A crash as it is stored. */
--- a/packages/quarantine/src/isolation.ts
+++ b/packages/quarantine/src/suspectSemaphore.ts
@@ -25,11 +25,11 @@
 }
 
 /** A semaphore for suspects at each process start of an upstream; permits are granted in FIFO order. */
-export class Isolation {
+export class SuspectSemaphore {
   private readonly byStart = new Map<string, Semaphore>();
 
   /** Waits for permits, which disposing of the result releases. Resolves without permits when `signal` aborts. */
-  async enter(start: string, wanted: Permits, signal: CancelSignal): Promise<Disposable> {
+  async acquire(start: string, wanted: Permits, signal: CancelSignal): Promise<Disposable> {
     const semaphore = this.byStart.get(start) ?? { available: PERMITS_PER_START, queue: [] };
     this.byStart.set(start, semaphore);
     const permits = wanted === 'all-places' ? PERMITS_PER_START : 1;
--- a/packages/routes/src/hostRoutes.ts
+++ b/packages/routes/src/hostRoutes.ts
@@ -1,6 +1,6 @@
 /** Matches requests to routes by host and longest path prefix. */
 import { type Random } from '@cleatquay/clock';
-import { Keyring, type Organisation, Ranks } from '@cleatquay/organisations';
+import { Keyring, type Organisation, PriorityClasses } from '@cleatquay/organisations';
 import { type HostRoute, type RoutePlan, type ServicePlan } from './routePlan.js';
 import { WeightedSplit } from './weightedSplit.js';
 
@@ -9,7 +9,7 @@
   private readonly byHost = new Map<string, Map<string, HostRoute>>();
   private readonly splits = new Map<string, WeightedSplit>();
   private readonly services = new Map<string, ServicePlan>();
-  private readonly ranks: Ranks;
+  private readonly ranks: PriorityClasses;
   /** API keys of the organisations; undefined if requests need no key. */
   readonly keyring: Keyring | undefined;
 
@@ -32,7 +32,7 @@
     }
     for (const service of plan.services) this.services.set(service.name, service);
     this.keyring = plan.organisations && new Keyring(plan.organisations);
-    this.ranks = new Ranks({
+    this.ranks = new PriorityClasses({
       routes: plan.routes.map(({ rank }) => rank),
       organisations: this.keyring?.ranks ?? [],
     });
@@ -64,7 +64,7 @@
 
   /** Priority class of a request; 0 is the highest priority. */
   rankOf(route: HostRoute, organisation: Organisation | undefined): number {
-    return this.ranks.of(route.rank, organisation?.rank);
+    return this.ranks.classOf(route.rank, organisation?.rank);
   }
 
   /** The declaration of a service. */
--- a/packages/settings/src/callGraph.ts
+++ b/packages/settings/src/callGraph.ts
@@ -1,6 +1,6 @@
 /** The declared call graph: finds the route of a request, and validates the graph. */
 import { Failure } from '@cleatquay/errors';
-import { Keyring, type Organisation, Ranks } from '@cleatquay/organisations';
+import { Keyring, type Organisation, PriorityClasses } from '@cleatquay/organisations';
 import { match } from 'path-to-regexp';
 import { type OperatorFile, type RouteDeclaration } from './operatorFile.js';
 
@@ -32,7 +32,7 @@
 export class CallGraph {
   private readonly byName = new Map<RouteName, Route>();
   private readonly byService = new Map<string, Route[]>();
-  private readonly ranks: Ranks;
+  private readonly ranks: PriorityClasses;
   /** The keys that requests may use; undefined if requests need none. */
   readonly keyring: Keyring | undefined;
 
@@ -45,7 +45,7 @@
       for (const route of routes) this.byName.set(route.name, route);
     }
     this.keyring = file.organisations && new Keyring(organisationsOf(file.organisations));
-    this.ranks = new Ranks({
+    this.ranks = new PriorityClasses({
       routes: file.classes.map((_, rank) => rank),
       organisations: this.keyring?.ranks ?? [],
     });
@@ -58,7 +58,7 @@
 
   /** Rank of a request on the route; 0 has the highest priority. */
   rankOf(route: Route, organisation: Organisation | undefined): number {
-    return this.ranks.of(route.rank, organisation?.rank);
+    return this.ranks.classOf(route.rank, organisation?.rank);
   }
 
   /** The route of a request; `path` may have a query. */
--- a/tests/organisations.spec.ts
+++ b/tests/organisations.spec.ts
@@ -266,9 +266,9 @@
     it('of 10,000 organisations are found by digest within two microseconds', () => {
       const keyring = new Keyring(organisations);
       const digests = organisations.flatMap(({ keyDigests }) => keyDigests);
-      expect(keyring.holderOf(digestOfKey('9999-3'))?.name).to.equal('o9999');
+      expect(keyring.organisationOf(digestOfKey('9999-3'))?.name).to.equal('o9999');
       const start = performance.now();
-      const found = digests.filter(digest => keyring.holderOf(digest) !== undefined);
+      const found = digests.filter(digest => keyring.organisationOf(digest) !== undefined);
       expect(performance.now() - start).to.be.below(digests.length * TWO_MICROSECONDS_MS);
       expect(found).to.have.lengthOf(digests.length);
     });
--- a/tests/quarantine.spec.ts
+++ b/tests/quarantine.spec.ts
@@ -1,7 +1,7 @@
 import { type CancelSignal, Cancellation, ManualClock } from '@cleatquay/clock';
 import {
   CrashHistory,
-  Isolation,
+  SuspectSemaphore,
   RecentResponses,
   type Permits,
   Verdicts,
@@ -40,7 +40,7 @@
     await fleet.pass(DECISION_MS);
   };
   const recordResponse = (at: number, fingerprint: string) =>
-    fleet.daemons[at]!.answered({ ...HEAD, path: `/${fingerprint}` }, EMPTY, () => fingerprint);
+    fleet.daemons[at]!.recordResponse({ ...HEAD, path: `/${fingerprint}` }, EMPTY, () => fingerprint);
 
   describe('is quarantined everywhere', () => {
     it('after three crashes, each on another VM', async () => {
@@ -108,7 +108,7 @@
     it('when it got a response just before many upstreams crashed at once', async () => {
       const popular = { ...HEAD, path: '/popular' };
       const fingerprint = fingerprintOf(popular, EMPTY);
-      fleet.daemons[3]!.answered(popular, EMPTY, () => fingerprint);
+      fleet.daemons[3]!.recordResponse(popular, EMPTY, () => fingerprint);
       for (const at of [0, 1, 2]) await fleet.crash(at, `u${String(at)}@1`, [fingerprint]);
       expect(fleet.statuses(fingerprint)).to.deep.equal(all('free'));
     });
@@ -219,11 +219,11 @@
 
 describe('suspects at one upstream', () => {
   const NEVER = new Cancellation().signal;
-  let semaphore: Isolation;
+  let semaphore: SuspectSemaphore;
   let started: string[];
 
   beforeEach(() => {
-    semaphore = new Isolation();
+    semaphore = new SuspectSemaphore();
     started = [];
   });
 
@@ -232,7 +232,7 @@
     wanted: Permits,
     { start = 'u', signal = NEVER as CancelSignal } = {},
   ) => {
-    const permit = await semaphore.enter(start, wanted, signal);
+    const permit = await semaphore.acquire(start, wanted, signal);
     started.push(name);
     return permit;
   };
--- a/tests/quotas.spec.ts
+++ b/tests/quotas.spec.ts
@@ -79,7 +79,7 @@
       const node = fleet.nodes[0]!;
       const hints: number[] = [];
       for (let i = 0; i < 10; i++) {
-        void Promise.resolve(node.quotas.take('dairy', QUOTA)).then(taken => {
+        void Promise.resolve(node.quotas.acquire('dairy', QUOTA)).then(taken => {
           if (taken.kind === 'over') hints.push(taken.retryAfterMs);
         });
         await fleet.pass(100, 200, () => fleet.anyNode());
--- a/tests/retryBudget.spec.ts
+++ b/tests/retryBudget.spec.ts
@@ -18,7 +18,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { CALL_CONTEXT } from './fixtures/callContext.js';
-import { lonelyQuarantine } from './fixtures/lonelyQuarantine.js';
+import { isolatedQuarantine } from './fixtures/isolatedQuarantine.js';
 
 const NEVER = new AbortController().signal;
 const UPSTREAMS = 4;
@@ -61,7 +61,7 @@
       freeReroutes: 0,
       signalsEnforceDeadline: false,
       journal: new DecisionTrace(this.clock),
-      quarantine: lonelyQuarantine(this.clock),
+      quarantine: isolatedQuarantine(this.clock),
       self: 'none',
       local: exchange as never,
     });
