--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -83,7 +83,7 @@
   }
 
   /** The compiled active configuration; undefined before the first generation. */
-  get inForce(): Compiled | undefined {
+  get active(): Compiled | undefined {
     return this.compiled;
   }
 
@@ -114,17 +114,17 @@
   }
 
   /** Adopts the full content of a version that no apply of this system created. */
-  adoptWhole(generation: number, sections: Sections, from: Origin): boolean {
+  adoptContent(generation: number, sections: Sections, from: Origin): boolean {
     return this.adopt({ generation, applyId: String(generation), sections }, from);
   }
 
   /** Creates a request to a peer for what this daemon lacks. */
-  question(): ConfigurationRequest {
+  createRequest(): ConfigurationRequest {
     return { generation: this.generation, digest: this.digest };
   }
 
   /** Creates the response to a peer's request: a difference if this daemon remembers the peer's content, otherwise the full content. */
-  answer(request: ConfigurationRequest): ConfigurationAnswer {
+  createResponse(request: ConfigurationRequest): ConfigurationAnswer {
     const { generation, applyId, digest, version } = this;
     const same = { generation, applyId, digest, baseDigest: request.digest, sections: [] };
     if (!version || request.generation >= generation) return same;
@@ -141,7 +141,7 @@
    * Adopts a peer's response if its generation is higher and its base is the active content. Throws if the resulting content does not have
    * the digest of the response.
    */
-  adoptAnswer(response: ConfigurationAnswer, from: Origin): boolean {
+  adoptResponse(response: ConfigurationAnswer, from: Origin): boolean {
     const isWhole = response.baseDigest === '';
     if (response.generation <= this.generation || (!isWhole && response.baseDigest !== this.digest))
       return false;
--- a/packages/configuration/src/configurationSpread.ts
+++ b/packages/configuration/src/configurationDistribution.ts
@@ -14,14 +14,14 @@
 const PEER_TIMEOUT_MS = 250;
 
 /** The configuration that a peer announces. */
-export interface HeardConfiguration {
+export interface AnnouncedConfiguration {
   readonly generation: number;
   /** First half of the digest of its content; 0 if the peer does not report one. */
   readonly shortDigest: number;
 }
 
 /** Options of `ConfigurationDistribution`. */
-export interface SpreadOptions {
+export interface DistributionOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly configuration: Configuration<unknown>;
@@ -32,21 +32,21 @@
   /** Whether this daemon is one of the platform readers of its failure domain. */
   readonly isReader: () => boolean;
   /** Called after each read with whether the platform is reachable. */
-  readonly onReach: (isReached: boolean) => void;
+  readonly onReachability: (isReached: boolean) => void;
   /** Fetches what this daemon lacks from a peer. */
   readonly fetch: (peer: string, request: ConfigurationRequest) => Promise<ConfigurationAnswer>;
   /** The peers to ask, in order, given those that have announced a higher generation. */
-  readonly inOrder: (candidates: readonly string[]) => readonly string[];
+  readonly fetchOrder: (candidates: readonly string[]) => readonly string[];
   /** Delay before a version is fetched from a peer, ms, in which this daemon's own source may provide it. */
-  readonly patienceMs: (peer: string) => number;
+  readonly fetchDelayMs: (peer: string) => number;
   /** Called if a peer has other content under the active generation, and no read of the platform has confirmed this daemon's content. */
-  readonly onDoubt: (peer: string) => void;
+  readonly onDigestMismatch: (peer: string) => void;
   /** Called if a fetch from a peer failed. */
   readonly onPeerFailure: (peer: string, reason: string) => void;
 }
 
 /** Two tasks: one reads the platform, the other fetches the versions that peers announce by gossip. */
-export class ConfigurationSpread implements AsyncDisposable {
+export class ConfigurationDistribution implements AsyncDisposable {
   readonly state = {
     platformReads: 0,
     platformFailures: 0,
@@ -64,7 +64,7 @@
   private mismatchedGeneration = 0;
   private isUnreachable = false;
 
-  constructor(private readonly options: SpreadOptions) {}
+  constructor(private readonly options: DistributionOptions) {}
 
   /** Starts to read the platform, if the daemon has one. */
   start(): void {
@@ -73,8 +73,8 @@
   }
 
   /** Handles a peer's announcement of its configuration. */
-  heard({ generation, shortDigest }: HeardConfiguration, peer: string): void {
-    const { configuration, onDoubt } = this.options;
+  handleAnnouncement({ generation, shortDigest }: AnnouncedConfiguration, peer: string): void {
+    const { configuration, onDigestMismatch: onDoubt } = this.options;
     const isOther = generation === configuration.generation && shortDigest !== configuration.shortDigest;
     if (
       isOther &&
@@ -124,7 +124,7 @@
 
   private async readOnce(store: ConfigurationStore): Promise<boolean> {
     this.isUnreachable = !(await this.attemptRead(store));
-    this.options.onReach(!this.isUnreachable);
+    this.options.onReachability(!this.isUnreachable);
     return !this.isUnreachable;
   }
 
@@ -137,7 +137,7 @@
       const isKnown = generation === configuration.generation && applyId === configuration.applyId;
       const isNew = generation >= configuration.generation && (!isKnown || this.hasMismatch);
       if (isNew) configuration.adopt(await store.read(), 'platform');
-      freshness.confirmed(begun);
+      freshness.confirm(begun);
       return true;
     } catch (error) {
       this.state.platformFailures++;
@@ -148,7 +148,7 @@
 
   /** Asks only peers that have announced the missing version, or may have it: right after a change few daemons have it. */
   private async fetchUntilCaughtUp(first: string): Promise<void> {
-    const { clock, patienceMs } = this.options;
+    const { clock, fetchDelayMs: patienceMs } = this.options;
     const { signal } = this.stopped;
     await clock.sleep(patienceMs(first), signal);
     const asked = new Set<string>();
@@ -157,7 +157,7 @@
       candidates.length > 0 && !signal.aborted;
       candidates = this.peersAhead()
     ) {
-      const peer = this.options.inOrder(candidates).find(address => !asked.has(address));
+      const peer = this.options.fetchOrder(candidates).find(address => !asked.has(address));
       if (peer === undefined) {
         asked.clear();
         await clock.sleep(PEER_RETRY_DELAY_MS, signal);
@@ -188,9 +188,9 @@
     const { configuration } = this.options;
     this.state.peerFetches++;
     try {
-      const response = await this.options.fetch(peer, configuration.question());
+      const response = await this.options.fetch(peer, configuration.createRequest());
       this.state.peerBytes += ConfigurationAnswer.encode(response).finish().length;
-      configuration.adoptAnswer(response, peer);
+      configuration.adoptResponse(response, peer);
     } catch (error) {
       this.generationsByPeer.delete(peer);
       this.state.peerFailures++;
--- a/packages/configuration/src/configurationWatch.ts
+++ b/packages/configuration/src/configurationWatcher.ts
@@ -37,27 +37,27 @@
 }
 
 /** Options of `ConfigurationWatcher`. */
-export interface ConfigurationWatchOptions {
+export interface ConfigurationWatcherOptions {
   readonly clock: Clock;
   readonly configuration: Configuration<unknown>;
   readonly source: ConfigurationSource;
   /** Receives the freshness proof of each call. */
   readonly freshness: Freshness;
   /** Whether this daemon has to read the source itself at present. */
-  readonly isOnDuty: () => boolean;
+  readonly mustReadPlatform: () => boolean;
   /** Maximum wait for the next version, ms; `isFirst` if the last call returned one. */
   readonly waitMs: (isFirst: boolean) => number;
   /** Interval of reads that don't wait for a change, ms; undefined to wait. A wait is a proof as of its beginning, which is old when it ends. */
-  readonly paceMs: () => number | undefined;
+  readonly readIntervalMs: () => number | undefined;
   /** Delay after a failed read, ms. */
-  readonly pauseMs: () => number;
+  readonly retryDelayMs: () => number;
   /** Called with whether the source is reachable, after each successful call and each failed read. */
-  readonly onReach: (isReached: boolean) => void;
+  readonly onReachability: (isReached: boolean) => void;
   readonly log: (message: string, facts: object) => void;
 }
 
 /** One task that waits for the next version, for as long as the daemon runs. */
-export class ConfigurationWatch implements AsyncDisposable {
+export class ConfigurationWatcher implements AsyncDisposable {
   private readonly stopped = new AbortController();
   private watching: Promise<void> = Promise.resolve();
   private isUnreachable = false;
@@ -66,7 +66,7 @@
   private mismatchedGeneration = 0;
   private checkedAt = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly options: ConfigurationWatchOptions) {}
+  constructor(private readonly options: ConfigurationWatcherOptions) {}
 
   start(): void {
     this.watching = this.watch();
@@ -76,7 +76,7 @@
    * A peer has other content under the active generation. Only the source can tell which is right: this daemon reads it until that
    * confirms the generation, even if other daemons read it, too.
    */
-  doubt(): void {
+  onDigestMismatch(): void {
     this.mismatchedGeneration = this.options.configuration.generation;
   }
 
@@ -100,19 +100,19 @@
       const hasSucceeded = await this.runNextCall(signal);
       if (hasSucceeded) await this.waitForInterval(begunAt, signal);
       if (hasSucceeded || wasWait) continue;
-      await this.options.clock.sleep(this.options.pauseMs(), signal);
+      await this.options.clock.sleep(this.options.retryDelayMs(), signal);
     }
   }
 
   private async waitForInterval(begunAt: number, signal: AbortSignal): Promise<void> {
-    const { clock, paceMs } = this.options;
+    const { clock, readIntervalMs: paceMs } = this.options;
     const leftMs = begunAt + (paceMs() ?? 0) - clock.now();
     if (leftMs > 0) await clock.sleep(leftMs, signal);
   }
 
   /** A daemon without a configuration always reads the source itself. */
   private mayCallSource(): boolean {
-    const { clock, configuration, isOnDuty } = this.options;
+    const { clock, configuration, mustReadPlatform: isOnDuty } = this.options;
     const { generation, isConfirmed } = configuration;
     if (generation === 0 || isOnDuty() || (generation === this.mismatchedGeneration && !isConfirmed))
       return true;
@@ -127,8 +127,8 @@
       const version = await this.callSource(signal);
       this.nextCall = version ? 'wait-after-version' : 'wait';
       this.onSourceReached();
-      if (version) configuration.adoptWhole(version.generation, version.sections, 'platform');
-      freshness.confirmed(begun);
+      if (version) configuration.adoptContent(version.generation, version.sections, 'platform');
+      freshness.confirm(begun);
       return true;
     } catch (error) {
       const failure = asFailure(error);
@@ -141,7 +141,7 @@
   }
 
   private callSource(signal: AbortSignal): Promise<SourcedVersion | undefined> {
-    const { source, waitMs, paceMs } = this.options;
+    const { source, waitMs, readIntervalMs: paceMs } = this.options;
     if (this.nextCall === 'read') return source.read(signal);
     const isPaced = paceMs() !== undefined;
     return source.next(isPaced ? 0 : waitMs(this.nextCall === 'wait-after-version'), signal);
@@ -152,7 +152,7 @@
    * active, and counts as the newest valid one.
    */
   private onRejectedVersion(failure: Failure, begun: Moment): boolean {
-    this.options.freshness.confirmed(begun);
+    this.options.freshness.confirm(begun);
     this.nextCall = 'wait';
     this.onSourceReached();
     this.options.log('A version was refused.', { reason: failure.describe() });
@@ -162,13 +162,13 @@
   private onSourceReached(): void {
     if (this.isUnreachable) this.options.log('The source is reachable again.', {});
     this.isUnreachable = false;
-    this.options.onReach(true);
+    this.options.onReachability(true);
   }
 
   /** Only a failed read is reported: a wait may have failed only because its connection was stale. */
   private onSourceFailure(failure: Failure, hasRead: boolean): void {
     if (!this.isUnreachable) this.options.log('The source is unreachable.', { reason: failure.describe() });
     this.isUnreachable = true;
-    if (hasRead) this.options.onReach(false);
+    if (hasRead) this.options.onReachability(false);
   }
 }
--- a/packages/configuration/src/freshness.ts
+++ b/packages/configuration/src/freshness.ts
@@ -16,7 +16,7 @@
 }
 
 /** A freshness proof received from another daemon. */
-export interface HeardProof {
+export interface FreshnessProof {
   readonly generation: number;
   /** First half of the digest of its content. */
   readonly shortDigest: number;
@@ -25,7 +25,7 @@
 }
 
 /** Identifies the active configuration, to which proofs apply. */
-export interface ProvenConfiguration {
+export interface ConfigurationVersion {
   readonly generation: number;
   readonly shortDigest: number;
 }
@@ -36,7 +36,7 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly configuration: ProvenConfiguration,
+    private readonly configuration: ConfigurationVersion,
   ) {}
 
   /** The present moment; take it before a read begins or a request is sent. */
@@ -50,7 +50,7 @@
   }
 
   /** A read of the platform that began at `begun` found nothing newer than the active configuration. */
-  confirmed(begun: Moment): void {
+  confirm(begun: Moment): void {
     if (this.configuration.generation > 0) this.offer(begun);
   }
 
@@ -58,7 +58,7 @@
    * Receives a peer's proof in the response to a request that was sent at `requestedAt`. It is ignored if its version is newer than the active
    * one, or has other content under the same generation.
    */
-  heard({ generation, shortDigest, ageMs }: HeardProof, requestedAt: Moment): void {
+  receiveProof({ generation, shortDigest, ageMs }: FreshnessProof, requestedAt: Moment): void {
     const { configuration } = this;
     const isOther = generation === configuration.generation && shortDigest !== configuration.shortDigest;
     const isUsable = generation > 0 && generation <= configuration.generation && !isOther;
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -1,7 +1,7 @@
 /** Applies, stores and distributes the operators' configuration. */
 export { type Adoption, Configuration, type Origin } from './configuration.js';
 export { ConfigurationStore, type AppliedVersion, type Generation } from './configurationStore.js';
-export { ConfigurationSpread, type SpreadOptions } from './configurationSpread.js';
+export { ConfigurationDistribution, type DistributionOptions } from './configurationDistribution.js';
 export {
   type Change,
   type Sections,
@@ -10,5 +10,9 @@
   joinSections,
   splitSections,
 } from './sections.js';
-export { Freshness, type HeardProof, type Moment, type ProvenConfiguration } from './freshness.js';
-export { ConfigurationWatch, type ConfigurationSource, type SourcedVersion } from './configurationWatch.js';
+export { Freshness, type FreshnessProof, type Moment, type ConfigurationVersion } from './freshness.js';
+export {
+  ConfigurationWatcher,
+  type ConfigurationSource,
+  type SourcedVersion,
+} from './configurationWatcher.js';
--- a/packages/daemon/src/createFleetQuotas.ts
+++ b/packages/daemon/src/createFleetQuotas.ts
@@ -33,8 +33,9 @@
     self: membership.me.gossipAddress,
     failureDomain,
     members: () => [...membership.table.all()].filter(({ state }) => state === 'ALIVE'),
-    shareCount: () => (knowsFleet() ? membership.countLately(failureDomain, PARTITION_GRACE_MS) : undefined),
-    sendRequest: (to, question) => membership.askForQuota(to, question),
-    sendResponse: (to, answer) => membership.answerForQuota(to, answer),
+    shareCount: () =>
+      knowsFleet() ? membership.countRecentlyUp(failureDomain, PARTITION_GRACE_MS) : undefined,
+    sendRequest: (to, question) => membership.sendQuotaRequest(to, question),
+    sendResponse: (to, answer) => membership.sendQuotaResponse(to, answer),
   });
 }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -12,7 +12,7 @@
 import { type Clock, type Random } from '@cleatquay/clock';
 import {
   Configuration,
-  ConfigurationSpread,
+  ConfigurationDistribution,
   ConfigurationStore,
   joinSections,
 } from '@cleatquay/configuration';
@@ -75,7 +75,7 @@
   /** Set once the daemon listens for its peers. */
   private core!: DaemonCore;
   private ingress!: Ingress;
-  private distribution!: ConfigurationSpread;
+  private distribution!: ConfigurationDistribution;
   private readonly organisations: OrganisationServices;
   private callerAddress = '';
   private shutdownPhase: 'announced' | 'refusing' | undefined;
@@ -151,7 +151,7 @@
 
   private startCore(): Promise<DaemonCore> {
     const { settings, clock, random, log } = this.options;
-    const graph = () => this.configuration.inForce;
+    const graph = () => this.configuration.active;
     return DaemonCore.start({
       settings,
       clock,
@@ -182,20 +182,20 @@
       quarantineTable: NO_TABLE,
       localService: '',
       handleAsHome: (head, body, signal) => this.ingress.handleAsHome(head, body, signal),
-      answerConfiguration: request => this.configuration.answer(request),
+      answerConfiguration: request => this.configuration.createResponse(request),
       freshness: this.organisations.freshness,
       quotas: this.organisations.quotaHandlers,
-      onPeerConfiguration: (reported, peer) => this.distribution.heard(reported, peer),
+      onPeerConfiguration: (reported, peer) => this.distribution.handleAnnouncement(reported, peer),
     });
   }
 
   private boundsOf(service: string): UpstreamBounds {
-    const declared = this.configuration.inForce?.file.services[service];
+    const declared = this.configuration.active?.file.services[service];
     return { slots: declared?.slots, maxQueueMs: declared?.maxQueueMs ?? DEFAULT_MAX_QUEUE_MS };
   }
 
   private downstreamCallsOf({ calls }: CallRoute): CallRoute[] {
-    return calls.flatMap(name => this.configuration.inForce?.get(name) ?? []);
+    return calls.flatMap(name => this.configuration.active?.get(name) ?? []);
   }
 
   private createIngress(): Ingress {
@@ -206,7 +206,7 @@
       clock,
       self: core.self,
       epoch,
-      graph: () => this.configuration.inForce,
+      graph: () => this.configuration.active,
       generation: () => this.configuration.generation,
       forwarder: core.forwarder,
       peers: core.peers,
@@ -234,7 +234,7 @@
       clock,
       random,
       configuration: this.configuration,
-      keyring: () => this.configuration.inForce?.keyring,
+      keyring: () => this.configuration.active?.keyring,
       revocationMs: settings.revocationMs,
       failureDomain: settings.failureDomain,
       division: { failureDomains: settings.failureDomains, slack: settings.quotaSlack },
@@ -243,10 +243,10 @@
     });
   }
 
-  private createDistribution(): ConfigurationSpread {
+  private createDistribution(): ConfigurationDistribution {
     const { settings, clock, random } = this.options;
     const { core } = this;
-    return new ConfigurationSpread({
+    return new ConfigurationDistribution({
       clock,
       random,
       configuration: this.configuration,
@@ -254,12 +254,12 @@
       store: this.store && new ConfigurationStore(this.store, clock),
       isReader: () =>
         platformReadersOf(settings.failureDomain, core.membership.table.all()).includes(core.self),
-      onReach: isReached => core.membership.setPlatformLost(!isReached),
-      inOrder: holders => holders,
-      patienceMs: () => 0,
+      onReachability: isReached => core.membership.setPlatformLost(!isReached),
+      fetchOrder: holders => holders,
+      fetchDelayMs: () => 0,
       fetch: (peer, request) => core.peers.fetchConfiguration(peer, request),
       onPeerFailure: (peer, reason) => logPeerFetchFailure(this.configurationLog, peer, reason),
-      onDoubt: peer => logDigestMismatch(this.configurationLog, this.configuration, peer),
+      onDigestMismatch: peer => logDigestMismatch(this.configurationLog, this.configuration, peer),
     });
   }
 
--- a/packages/daemon/src/daemonCore.ts
+++ b/packages/daemon/src/daemonCore.ts
@@ -138,7 +138,7 @@
       random,
       table: options.quarantineTable,
       service: options.localService,
-      broadcast: finding => this.membership.spread(finding),
+      broadcast: finding => this.membership.broadcast(finding),
       log: (message, facts) => quarantineLog.warn(facts, `Quarantine: ${message}`),
     });
     this.membership = new Membership({
@@ -146,7 +146,7 @@
       random,
       datagrams,
       seeds: settings.seeds,
-      isCut: isPartitioned,
+      isPartitioned: isPartitioned,
       self: {
         address: self,
         gossipAddress: datagrams.address,
@@ -157,7 +157,7 @@
       findings: {
         digest: () => this.quarantine.digest,
         verdicts: () => this.quarantine.findings,
-        heard: finding => this.quarantine.handleFinding(finding),
+        receive: finding => this.quarantine.handleFinding(finding),
       },
       ...(options.quotas && { quotas: options.quotas }),
       ...(options.freshness && { proofs: freshnessProofs(options.freshness) }),
@@ -303,7 +303,7 @@
   }
 
   private onPeerConfiguration(configuration: KnownConfiguration, from: string): void {
-    const peer = this.membership.table.atGossip(from)?.address;
+    const peer = this.membership.table.getByGossipAddress(from)?.address;
     if (peer !== undefined) this.options.onPeerConfiguration(configuration, peer);
   }
 
@@ -324,8 +324,8 @@
 function freshnessProofs(freshness: Freshness): Proofs<Moment> {
   return {
     ageMs: () => freshness.ageMs,
-    asking: () => freshness.moment(),
-    heard: (proof, asked) => freshness.heard(proof, asked),
+    captureContext: () => freshness.moment(),
+    receive: (proof, asked) => freshness.receiveProof(proof, asked),
   };
 }
 
--- a/packages/daemon/src/daemonReport.ts
+++ b/packages/daemon/src/daemonReport.ts
@@ -5,7 +5,7 @@
   type RunningCalls,
   type AttemptRegistry,
 } from '@cleatquay/calls';
-import { type Configuration, type ConfigurationSpread } from '@cleatquay/configuration';
+import { type Configuration, type ConfigurationDistribution } from '@cleatquay/configuration';
 import { invariantViolations } from '@cleatquay/errors';
 import { type Membership } from '@cleatquay/membership';
 import { type Quarantine } from '@cleatquay/quarantine';
@@ -19,7 +19,7 @@
   readonly settings: ProcessSettings;
   readonly addresses: object;
   readonly configuration: Configuration<CallGraph>;
-  readonly distribution: ConfigurationSpread;
+  readonly distribution: ConfigurationDistribution;
   readonly membership: Membership;
   readonly upstreams: Upstreams;
   readonly router: Router;
@@ -44,7 +44,7 @@
       applyId: configuration.applyId,
       adoptedAt: configuration.adoptedAt,
       spread: sources.distribution.state,
-      file: configuration.inForce?.file,
+      file: configuration.active?.file,
     },
     upstreams: sources.upstreams.dump(),
     routing: sources.router.dump(),
--- a/packages/daemon/src/organisationServices.ts
+++ b/packages/daemon/src/organisationServices.ts
@@ -1,7 +1,7 @@
 /** Wires the parts that check the API keys and quotas of organisations in one daemon. */
 import { type DecisionTrace, QuotaGate, Authenticator } from '@cleatquay/calls';
 import { type Clock, type Random } from '@cleatquay/clock';
-import { Freshness, type ProvenConfiguration } from '@cleatquay/configuration';
+import { Freshness, type ConfigurationVersion } from '@cleatquay/configuration';
 import { type Membership, type QuotaHandlers } from '@cleatquay/membership';
 import { type Keyring, OrganisationCounts, type QuotaDivision, type Quotas } from '@cleatquay/organisations';
 import { createFleetQuotas } from './createFleetQuotas.js';
@@ -12,7 +12,7 @@
 export interface OrganisationServicesOptions {
   readonly clock: Clock;
   readonly random: Random;
-  readonly configuration: ProvenConfiguration;
+  readonly configuration: ConfigurationVersion;
   /** The keys of the active configuration; undefined if requests need none. */
   readonly keyring: () => Keyring | undefined;
   /**
@@ -54,8 +54,8 @@
   /** Handlers for the quota messages that membership receives. */
   get quotaHandlers(): QuotaHandlers {
     return {
-      heardQuestion: (question, from) => this.quotas.handleRequest(question, from),
-      heardAnswer: (answer, from) => this.quotas.handleResponse(answer, from),
+      handleRequest: (question, from) => this.quotas.handleRequest(question, from),
+      handleResponse: (answer, from) => this.quotas.handleResponse(answer, from),
     };
   }
 
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -14,12 +14,17 @@
   type Adoption,
   Configuration,
   type ConfigurationSource,
-  ConfigurationSpread,
-  ConfigurationWatch,
+  ConfigurationDistribution,
+  ConfigurationWatcher,
   type Sections,
 } from '@cleatquay/configuration';
 import { Failure } from '@cleatquay/errors';
-import { type KeptState, Meeting, type MeetingTable, type Membership } from '@cleatquay/membership';
+import {
+  type PersistedState,
+  PeerDiscovery,
+  type DiscoveryTable,
+  type Membership,
+} from '@cleatquay/membership';
 import { type Refusal, endOf, refusalOf } from '@cleatquay/protocol';
 import { type Quarantine, type QuarantineTable } from '@cleatquay/quarantine';
 import { HostRoutes, type RoutePlan } from '@cleatquay/routes';
@@ -69,7 +74,7 @@
   readonly callers: CallerDialect;
   readonly upstreams: UpstreamDialect;
   readonly configurationSource: ConfigurationSource;
-  readonly discoveryTable: MeetingTable;
+  readonly discoveryTable: DiscoveryTable;
   readonly quarantine: QuarantineTable;
   /** Parses the sections of a configuration. */
   readonly plan: (sections: Sections) => RoutePlan;
@@ -100,9 +105,9 @@
   private core!: DaemonCore;
   private ingress!: Relay;
   private readers!: PlatformReaders;
-  private discovery!: Meeting;
-  private watcher!: ConfigurationWatch;
-  private distribution!: ConfigurationSpread;
+  private discovery!: PeerDiscovery;
+  private watcher!: ConfigurationWatcher;
+  private distribution!: ConfigurationDistribution;
   private readonly listeners = new HttpListeners(this.broker);
   private inFlight = 0;
   /** Number of priority classes of the active configuration. */
@@ -131,14 +136,14 @@
     this.scheduler = new RequestScheduler(clock, () => this.pressure.isLagging);
     this.configuration = new Configuration(
       clock,
-      sections => new HostRoutes(adapter.plan(sections), random, this.configuration.inForce),
+      sections => new HostRoutes(adapter.plan(sections), random, this.configuration.active),
       adoption => this.onConfigurationAdopted(adoption),
     );
     this.organisations = new OrganisationServices({
       clock,
       random,
       configuration: this.configuration,
-      keyring: () => this.configuration.inForce?.keyring,
+      keyring: () => this.configuration.active?.keyring,
       revocationMs: settings.revocationMs,
       failureDomain: settings.failureDomain,
       division: settings.quotas,
@@ -148,7 +153,7 @@
     this.gateway = new RelayGateway({
       ingress: { handle: (...call) => this.ingress.handle(...call) },
       dialect: adapter.callers,
-      limits: () => this.configuration.inForce?.plan.limits,
+      limits: () => this.configuration.active?.plan.limits,
       needsKeys: () => this.organisations.needsKeys,
       isShuttingDown: () => this.shutdownStartedAt !== undefined,
       scheduler: this.scheduler,
@@ -215,7 +220,7 @@
 
   /** Whether the active configuration or the settings name the service; true while there is no configuration. */
   private isKnownService(name: string): boolean {
-    const routes = this.configuration.inForce;
+    const routes = this.configuration.active;
     return (
       routes?.service(name) !== undefined || routes === undefined || name === this.options.settings.service
     );
@@ -296,10 +301,10 @@
         const refusal = refusalOf('innerMessageInvalid', 'This daemon does not issue request ids.');
         return Promise.resolve(singlePartResponse(endOf(refusal, 0)));
       },
-      answerConfiguration: request => this.configuration.answer(request),
+      answerConfiguration: request => this.configuration.createResponse(request),
       freshness: this.organisations.freshness,
       quotas: this.organisations.quotaHandlers,
-      onPeerConfiguration: (reported, peer) => this.distribution.heard(reported, peer),
+      onPeerConfiguration: (reported, peer) => this.distribution.handleAnnouncement(reported, peer),
     });
   }
 
@@ -307,7 +312,7 @@
     const { settings, clock, random } = this.options;
     return new Relay({
       clock,
-      routes: () => this.configuration.inForce,
+      routes: () => this.configuration.active,
       configuration: this.configuration,
       journal: this.core.decisionTrace,
       forwarder: this.core.forwarder,
@@ -323,7 +328,7 @@
   }
 
   private boundsOf(service: string): UpstreamBounds {
-    const routes = this.configuration.inForce;
+    const routes = this.configuration.active;
     return {
       connections: routes?.service(service)?.connections,
       maxQueueMs: MAX_QUEUE_MS,
@@ -331,26 +336,29 @@
   }
 
   private healthPathOf(service: string): string | undefined {
-    return this.configuration.inForce?.service(service)?.healthPath;
+    return this.configuration.active?.service(service)?.healthPath;
   }
 
-  private createDiscovery(): Meeting {
+  private createDiscovery(): PeerDiscovery {
     const { clock, random, log, platformAdapter: adapter } = this.options;
     const discoveryLog = log.child({ part: 'meeting' });
-    return new Meeting({
+    return new PeerDiscovery({
       clock,
       random,
       table: adapter.discoveryTable,
       membership: this.membership,
-      isTender: () => this.readers.isReader,
-      kept: () => ({ departures: this.upstreams.departures, upstreams: this.upstreams.identifiedUpstreams }),
-      onFormer: recorded => this.restoreUpstreams(recorded),
+      maintainsTable: () => this.readers.isReader,
+      persisted: () => ({
+        departures: this.upstreams.departures,
+        upstreams: this.upstreams.identifiedUpstreams,
+      }),
+      onRestore: recorded => this.restoreUpstreams(recorded),
       log: (message, facts) => discoveryLog.info(facts, `Meeting: ${message}`),
     });
   }
 
   /** Restores the upstreams and shutdowns that an earlier process of this daemon recorded. */
-  private restoreUpstreams({ departures, upstreams }: KeptState): void {
+  private restoreUpstreams({ departures, upstreams }: PersistedState): void {
     const { settings, clock, log, platformAdapter: adapter } = this.options;
     for (const { instanceId, born } of departures) this.upstreams.markLeaving(instanceId, born);
     void restoreUpstreams(upstreams, {
@@ -365,43 +373,43 @@
     });
   }
 
-  private createWatcher(): ConfigurationWatch {
+  private createWatcher(): ConfigurationWatcher {
     const { clock, platformAdapter: adapter } = this.options;
-    return new ConfigurationWatch({
+    return new ConfigurationWatcher({
       clock,
       configuration: this.configuration,
       source: adapter.configurationSource,
       freshness: this.organisations.freshness,
-      isOnDuty: () => this.readers.mustReadPlatform,
+      mustReadPlatform: () => this.readers.mustReadPlatform,
       waitMs: isFirst =>
         Math.min(
           this.readers.waitMs(isFirst),
           this.organisations.proofRenewer?.maxWaitMs ?? Number.POSITIVE_INFINITY,
         ),
-      paceMs: () => this.organisations.proofRenewer?.readIntervalMs,
-      pauseMs: () => this.readers.retryDelayMs,
-      onReach: isReached => this.membership.setPlatformLost(!isReached),
+      readIntervalMs: () => this.organisations.proofRenewer?.readIntervalMs,
+      retryDelayMs: () => this.readers.retryDelayMs,
+      onReachability: isReached => this.membership.setPlatformLost(!isReached),
       log: (message, facts) => this.configurationLog.info(facts, `Configuration: ${message}`),
     });
   }
 
-  private createDistribution(): ConfigurationSpread {
+  private createDistribution(): ConfigurationDistribution {
     const { clock, random } = this.options;
-    return new ConfigurationSpread({
+    return new ConfigurationDistribution({
       clock,
       random,
       configuration: this.configuration,
       freshness: this.organisations.freshness,
       store: undefined,
       isReader: () => false,
-      onReach: () => undefined,
-      patienceMs: peer => this.readers.fetchDelayMs(peer),
+      onReachability: () => undefined,
+      fetchDelayMs: peer => this.readers.fetchDelayMs(peer),
       fetch: (peer, request) => this.core.peers.fetchConfiguration(peer, request),
-      inOrder: holders => this.readers.fetchOrder(holders),
+      fetchOrder: holders => this.readers.fetchOrder(holders),
       onPeerFailure: (peer, reason) => logPeerFetchFailure(this.configurationLog, peer, reason),
-      onDoubt: peer => {
+      onDigestMismatch: peer => {
         logDigestMismatch(this.configurationLog, this.configuration, peer);
-        this.watcher.doubt();
+        this.watcher.onDigestMismatch();
       },
     });
   }
@@ -434,15 +442,15 @@
     this.watcher.start();
     this.organisations.start();
     this.discovery.start();
-    void this.discovery.met.then(() => (this.hasFleetView = true));
-    void Promise.race([this.discovery.met, clock.sleep(DISCOVERY_TIMEOUT_MS)]).then(
+    void this.discovery.firstRoundDone.then(() => (this.hasFleetView = true));
+    void Promise.race([this.discovery.firstRoundDone, clock.sleep(DISCOVERY_TIMEOUT_MS)]).then(
       () => (this.isDiscoveryDone = true),
     );
   }
 
   private onConfigurationAdopted(adoption: Adoption): void {
     logAdoption(this.configurationLog, adoption);
-    this.priorityClasses = this.configuration.inForce?.classes ?? 1;
+    this.priorityClasses = this.configuration.active?.classes ?? 1;
     this.core.membership.setConfiguration(this.configuration);
     this.gateway.adoptConfiguration();
     this.organisations.onConfigurationAdopted();
--- a/packages/daemon/src/relayReport.ts
+++ b/packages/daemon/src/relayReport.ts
@@ -42,7 +42,7 @@
 export function relayDump(sources: RelayReportSources): object {
   return {
     ...relayStatus(sources),
-    plan: sources.configuration.inForce?.plan,
+    plan: sources.configuration.active?.plan,
     routing: sources.router.dump(),
     departures: sources.upstreams.departures,
     runningHere: sources.running.size,
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -13,13 +13,13 @@
 export { MemberTable } from './memberTable.js';
 export { type Datagrams, UdpDatagrams } from './datagrams.js';
 export {
-  type KeptState,
+  type PersistedState,
   type KnownUpstream,
-  Meeting,
-  type MeetingOptions,
-  type MeetingRow,
-  type Created,
+  PeerDiscovery,
+  type PeerDiscoveryOptions,
+  type DiscoveryRow,
+  type CreateResult,
   type Departure,
   type ListedRow,
-  type MeetingTable,
-} from './meeting.js';
+  type DiscoveryTable,
+} from './peerDiscovery.js';
--- a/packages/membership/src/memberTable.ts
+++ b/packages/membership/src/memberTable.ts
@@ -31,7 +31,7 @@
   }
 
   /** The member that has this gossip address. */
-  atGossip(gossipAddress: string): Member | undefined {
+  getByGossipAddress(gossipAddress: string): Member | undefined {
     return this.members.get(this.byGossipAddress.get(gossipAddress) ?? '');
   }
 
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -13,7 +13,7 @@
   isAddress,
   isUsableMember,
 } from '@cleatquay/protocol';
-import { BroadcastQueue } from './broadcasts.js';
+import { BroadcastQueue } from './broadcastQueue.js';
 import { LocalHealth } from './localHealth.js';
 import { MemberTable } from './memberTable.js';
 import { type KnownConfiguration, type MembershipOptions } from './membershipOptions.js';
@@ -82,7 +82,7 @@
     this.self = { ...options.self, incarnation: 1, state: 'ALIVE', upstreams: [], isPlatformLost: false };
     this.table.put(this.self);
     this.receivedAt = options.clock.now();
-    this.probes = new Probes(options.clock, options.random, () => options.proofs?.asking());
+    this.probes = new Probes(options.clock, options.random, () => options.proofs?.captureContext());
     options.datagrams.receive(bytes => this.receive(bytes));
   }
 
@@ -103,8 +103,10 @@
   }
 
   /** Syncs with daemons that were discovered by other means than gossip; if there are many, with a sample that knows the others. */
-  meet(gossipAddresses: readonly string[]): void {
-    const unknown = gossipAddresses.filter(address => this.table.atGossip(address)?.state !== 'ALIVE');
+  join(gossipAddresses: readonly string[]): void {
+    const unknown = gossipAddresses.filter(
+      address => this.table.getByGossipAddress(address)?.state !== 'ALIVE',
+    );
     const joined = unknown.length > MAX_JOINS ? this.shuffle(unknown).slice(0, SAMPLED_JOINS) : unknown;
     for (const address of joined) this.sendSync(address, true);
   }
@@ -115,7 +117,7 @@
   }
 
   /** Daemons of a failure domain, including this one, that are up, or were declared dead so recently that they may only be partitioned. */
-  countLately(failureDomain: string, withinMs: number): number {
+  countRecentlyUp(failureDomain: string, withinMs: number): number {
     const since = this.options.clock.now() - withinMs;
     return [...this.table.all()].filter(
       m =>
@@ -144,7 +146,7 @@
    * Broadcasts a finding to the fleet. A finding that incriminates a request is sent to a few members immediately, and forwarded by them at
    * once: callers retry failed requests within a few ms, at other daemons.
    */
-  spread(finding: Finding): void {
+  broadcast(finding: Finding): void {
     this.findingBroadcasts.add(finding);
     if (finding.kind !== 'ENDED_WELL') this.sendBroadcast();
     this.scheduleBroadcast();
@@ -219,12 +221,12 @@
   }
 
   /** Requests quota capacity from the member with a gossip address. */
-  askForQuota(to: string, quotaQuestion: QuotaQuestion): void {
+  sendQuotaRequest(to: string, quotaQuestion: QuotaQuestion): void {
     this.send(to, { quotaQuestion });
   }
 
   /** Responds to such a request. */
-  answerForQuota(to: string, quotaAnswer: QuotaAnswer): void {
+  sendQuotaResponse(to: string, quotaAnswer: QuotaAnswer): void {
     this.send(to, { quotaAnswer });
   }
 
@@ -324,7 +326,7 @@
       this.traffic.invalid++;
       return;
     }
-    if (this.options.isCut?.(gossip.from)) return;
+    if (this.options.isPartitioned?.(gossip.from)) return;
     this.receivedAt = this.options.clock.now();
     for (const member of gossip.members) {
       if (isUsableMember(member)) this.accept(member, gossip.bulk);
@@ -336,15 +338,15 @@
     if (gossip.ack) this.handleAck(gossip.ack, { generation, shortDigest });
     if (gossip.ping) this.handlePing(gossip.ping, gossip.from);
     if (gossip.sync) this.handleSync(gossip.sync, gossip.from);
-    if (gossip.quotaQuestion) this.options.quotas?.heardQuestion(gossip.quotaQuestion, gossip.from);
-    if (gossip.quotaAnswer) this.options.quotas?.heardAnswer(gossip.quotaAnswer, gossip.from);
+    if (gossip.quotaQuestion) this.options.quotas?.handleRequest(gossip.quotaQuestion, gossip.from);
+    if (gossip.quotaAnswer) this.options.quotas?.handleResponse(gossip.quotaAnswer, gossip.from);
   }
 
   /** Repairs what was missed during a suspension, a network partition or a restart: if the digests differ, all verdicts are sent to the other member. */
   private handleFindings({ findings: received, findingsDigest, from }: Gossip): void {
     const { findings, clock } = this.options;
     if (!findings) return;
-    for (const finding of received) if (findings.heard(finding)) this.spread(finding);
+    for (const finding of received) if (findings.receive(finding)) this.broadcast(finding);
     const now = clock.now();
     if (
       findingsDigest === findings.digest() ||
@@ -359,7 +361,7 @@
   private handleAck({ sequence, proofAge }: Ack, configuration: KnownConfiguration): void {
     const context = this.probes.acknowledge(sequence);
     if (context !== undefined && proofAge > 0)
-      this.options.proofs?.heard({ ...configuration, ageMs: proofAge - 1 }, context);
+      this.options.proofs?.receive({ ...configuration, ageMs: proofAge - 1 }, context);
   }
 
   private ackOf(sequence: number): Ack {
@@ -377,7 +379,7 @@
 
   /** A sender that is taken for dead receives its record, so that it can refute it. */
   private acknowledgePing(ping: Ping, from: string): void {
-    const sender = this.table.atGossip(from);
+    const sender = this.table.getByGossipAddress(from);
     const update = sender && sender.state !== 'ALIVE' ? [sender] : undefined;
     this.send(from, { ack: this.ackOf(ping.sequence) }, update);
   }
@@ -408,7 +410,7 @@
   }
 
   private send(to: string, fields: GossipFields, members?: Member[], verdicts?: Finding[]): void {
-    if (this.options.isCut?.(to)) return;
+    if (this.options.isPartitioned?.(to)) return;
     const limit = Math.max(
       MIN_TRANSMISSIONS,
       Math.ceil(TRANSMISSIONS_FACTOR * Math.log2(this.table.size + 1)),
--- a/packages/membership/src/membershipOptions.ts
+++ b/packages/membership/src/membershipOptions.ts
@@ -15,9 +15,9 @@
   /** Age of this daemon's proof, ms; infinite if it has none. */
   readonly ageMs: () => number;
   /** Gives the present moment, which is stored with a probe until it is acknowledged. */
-  readonly asking: () => Context;
+  readonly captureContext: () => Context;
   /** Receives a member's proof, with the context of the probe that it acknowledges. */
-  readonly heard: (proof: KnownConfiguration & { readonly ageMs: number }, context: Context) => void;
+  readonly receive: (proof: KnownConfiguration & { readonly ageMs: number }, context: Context) => void;
 }
 
 /** Findings about queries of death (requests under which upstreams crash), as gossip carries them. */
@@ -27,13 +27,13 @@
   /** The verdicts known to this daemon. */
   readonly verdicts: () => readonly Finding[];
   /** Applies a finding of another daemon; returns whether it was new. */
-  readonly heard: (finding: Finding) => boolean;
+  readonly receive: (finding: Finding) => boolean;
 }
 
 /** Requests for quota capacity and their responses, which travel in gossip datagrams. */
 export interface QuotaHandlers {
-  readonly heardQuestion: (question: QuotaQuestion, from: string) => void;
-  readonly heardAnswer: (answer: QuotaAnswer, from: string) => void;
+  readonly handleRequest: (question: QuotaQuestion, from: string) => void;
+  readonly handleResponse: (answer: QuotaAnswer, from: string) => void;
 }
 
 /** Options of a daemon's membership. */
@@ -51,5 +51,5 @@
   /** Called for each change of another member. */
   readonly onChange: (member: Member) => void;
   /** Whether a simulated network partition separates this daemon from a gossip address; a hook for tests. */
-  readonly isCut?: (gossipAddress: string) => boolean;
+  readonly isPartitioned?: (gossipAddress: string) => boolean;
 }
--- a/packages/membership/src/meeting.ts
+++ b/packages/membership/src/peerDiscovery.ts
@@ -41,7 +41,7 @@
 export type Departure = Pick<KnownUpstream, 'instanceId' | 'born'>;
 
 /** The row that a daemon keeps about itself. */
-export interface MeetingRow {
+export interface DiscoveryRow {
   /** ip:port of the peer protocol, the key of the row. */
   readonly address: string;
   /** ip:port for gossip datagrams. */
@@ -53,52 +53,52 @@
 }
 
 /** The part of a row that a later process of the daemon restores. */
-export type KeptState = Pick<MeetingRow, 'departures' | 'upstreams'>;
+export type PersistedState = Pick<DiscoveryRow, 'departures' | 'upstreams'>;
 
 /** A row with its version in the table. */
-export interface ListedRow extends MeetingRow {
+export interface ListedRow extends DiscoveryRow {
   /** Changes with each write of the row. */
   readonly version: number;
 }
 
 /** The shared table. A call that fails may have taken effect, or may take effect later. */
-export interface MeetingTable {
+export interface DiscoveryTable {
   /** Creates the row if it is absent; otherwise returns the version of the existing one, and its content if that can be parsed. */
-  readonly create: (row: MeetingRow, signal: AbortSignal) => Promise<Created>;
+  readonly create: (row: DiscoveryRow, signal: AbortSignal) => Promise<CreateResult>;
   readonly list: (signal: AbortSignal) => Promise<readonly ListedRow[]>;
   /** Replaces the row if it has this version (0: absent); otherwise returns the existing version. */
-  readonly put: (row: MeetingRow, version: number, signal: AbortSignal) => Promise<Put>;
+  readonly put: (row: DiscoveryRow, version: number, signal: AbortSignal) => Promise<PutResult>;
   readonly remove: (address: string, signal: AbortSignal) => Promise<void>;
 }
 
 /** Whether the row was written, and its present version. */
-export interface Put {
+export interface PutResult {
   readonly isDone: boolean;
   readonly version: number;
 }
 
 /** Whether the row was created, and otherwise the existing one; undefined if that can't be parsed. */
-export interface Created extends Put {
-  readonly former: MeetingRow | undefined;
+export interface CreateResult extends PutResult {
+  readonly recorded: DiscoveryRow | undefined;
 }
 
 /** Options of `PeerDiscovery`. */
-export interface MeetingOptions {
+export interface PeerDiscoveryOptions {
   readonly clock: Clock;
   readonly random: Random;
-  readonly table: MeetingTable;
+  readonly table: DiscoveryTable;
   readonly membership: Membership;
   /** Whether this daemon maintains the table for its failure domain. */
-  readonly isTender: () => boolean;
+  readonly maintainsTable: () => boolean;
   /** The state to persist in this daemon's row. */
-  readonly kept: () => KeptState;
+  readonly persisted: () => PersistedState;
   /** Called once with the state that an earlier process of this daemon recorded, if there is any. */
-  readonly onFormer: (former: KeptState) => void;
+  readonly onRestore: (former: PersistedState) => void;
   readonly log: (message: string, facts: object) => void;
 }
 
 /** A task that keeps this daemon's row, and contacts the daemons of the other rows. */
-export class Meeting implements AsyncDisposable {
+export class PeerDiscovery implements AsyncDisposable {
   private readonly stopped = new AbortController();
   private readonly goneSince = new Map<string, number>();
   private running: Promise<void> = Promise.resolve();
@@ -115,9 +115,9 @@
   private isLost = false;
   private resolveFirstRound: () => void = () => undefined;
   /** Resolves after the first successful round. */
-  readonly met = new Promise<void>(resolve => (this.resolveFirstRound = resolve));
+  readonly firstRoundDone = new Promise<void>(resolve => (this.resolveFirstRound = resolve));
 
-  constructor(private readonly options: MeetingOptions) {}
+  constructor(private readonly options: PeerDiscoveryOptions) {}
 
   /** Starts the rounds. */
   start(): void {
@@ -164,7 +164,7 @@
 
   /** A daemon that has its row and knows other members does not poll faster during an outage of the table. */
   private intervalMs(): number {
-    const { membership, isTender } = this.options;
+    const { membership, maintainsTable: isTender } = this.options;
     if (this.mustWrite) return RETRY_DELAY_MS;
     if (membership.aliveCount() === 0) return ALONE_INTERVAL_MS;
     return isTender() ? MAINTENANCE_INTERVAL_MS : OWN_ROW_INTERVAL_MS;
@@ -181,7 +181,7 @@
       const own = rows.find(({ address }) => address === this.self);
       this.version = own?.version ?? 0;
       this.hasRow = own?.gossipAddress === gossipAddress;
-      this.options.membership.meet(this.othersIn(rows));
+      this.options.membership.join(this.othersIn(rows));
       await this.removeGone(rows, signal);
       if (this.isLost) log('The table is reachable again.', { rows: rows.length });
       this.isLost = false;
@@ -195,10 +195,10 @@
 
   /** Creates the row only if it is absent, so as not to lose what an earlier process of this daemon recorded. */
   private async create(signal: AbortSignal): Promise<void> {
-    const { table, onFormer, membership } = this.options;
+    const { table, onRestore: onFormer, membership } = this.options;
     const { changes } = this;
     const created = await table.create(this.row(), signal);
-    const { isDone, former } = created;
+    const { isDone, recorded: former } = created;
     if (isDone) this.writtenChanges = changes;
     if (former) onFormer(former);
     this.hasCreated = true;
@@ -229,13 +229,13 @@
     });
   }
 
-  private othersIn(rows: readonly MeetingRow[]): string[] {
+  private othersIn(rows: readonly DiscoveryRow[]): string[] {
     const own = this.options.membership.me.gossipAddress;
     return rows.map(row => row.gossipAddress).filter(address => address !== own);
   }
 
   /** Run by the daemon that is first by address among those alive; it is harmless if two daemons do it. */
-  private async removeGone(rows: readonly MeetingRow[], signal: AbortSignal): Promise<void> {
+  private async removeGone(rows: readonly DiscoveryRow[], signal: AbortSignal): Promise<void> {
     const { clock, membership, table, log } = this.options;
     const states = new Map(rows.map(row => [row.address, membership.table.get(row.address)?.state]));
     const firstAlive = [...states]
@@ -259,8 +259,8 @@
     return this.options.membership.me.address;
   }
 
-  private row(): MeetingRow {
+  private row(): DiscoveryRow {
     const { address, gossipAddress } = this.options.membership.me;
-    return { address, gossipAddress, ...this.options.kept() };
+    return { address, gossipAddress, ...this.options.persisted() };
   }
 }
--- a/tests/configuration.spec.ts
+++ b/tests/configuration.spec.ts
@@ -118,13 +118,13 @@
               };
               daemons[from]!.adopt(version, 'platform');
             }
-            const response = daemons[from]!.answer(daemons[to]!.question());
-            late.push(() => daemons[to]!.adoptAnswer(response, 'peer'));
+            const response = daemons[from]!.createResponse(daemons[to]!.createRequest());
+            late.push(() => daemons[to]!.adoptResponse(response, 'peer'));
             if (delay > 2) late.splice(0, delay).forEach(deliver => deliver());
           }
           for (const daemon of daemons.filter(d => d.generation > 0)) {
             const expected = normalised(accepted[daemon.generation - 1]!);
-            expect(normalised(daemon.inForce!.file)).to.deep.equal(expected);
+            expect(normalised(daemon.active!.file)).to.deep.equal(expected);
           }
         }),
         { numRuns: 200 },
--- a/tests/configurationContent.spec.ts
+++ b/tests/configurationContent.spec.ts
@@ -79,37 +79,37 @@
 
     it('is the difference if both have had the same content', () => {
       read(responder, 2, ['history', 'alarms']);
-      const { sections } = responder.answer(requester.question());
+      const { sections } = responder.createResponse(requester.createRequest());
       expect(sections).to.deep.equal([{ name: 'route:1', content: 'alarms' }]);
     });
 
     it('is the full content if the peer has never had that of the requesting daemon', () => {
       read(requester, 2, ['alarms', 'alarms']);
       read(responder, 3, ['history', 'alarms']);
-      const response = responder.answer(requester.question());
+      const response = responder.createResponse(requester.createRequest());
       expect(response.sections).to.have.length(3);
-      expect(requester.adoptAnswer(response, 'peer')).to.equal(true);
+      expect(requester.adoptResponse(response, 'peer')).to.equal(true);
       expect(requester.digest).to.equal(responder.digest);
     });
 
     it('is rejected if the result does not have the digest of the response', () => {
       read(responder, 2, ['history', 'alarms']);
-      const response = { ...responder.answer(requester.question()), sections: [] };
-      expect(() => requester.adoptAnswer(response, 'peer')).to.throw('Generation 2 of peer');
+      const response = { ...responder.createResponse(requester.createRequest()), sections: [] };
+      expect(() => requester.adoptResponse(response, 'peer')).to.throw('Generation 2 of peer');
       expect(requester.generation).to.equal(1);
     });
 
     it('is ignored if the requesting daemon has other content by then', () => {
       read(responder, 3, ['history', 'alarms']);
-      const response = responder.answer(requester.question());
+      const response = responder.createResponse(requester.createRequest());
       read(requester, 2, ['alarms', 'alarms']);
-      expect(requester.adoptAnswer(response, 'peer')).to.equal(false);
+      expect(requester.adoptResponse(response, 'peer')).to.equal(false);
     });
 
     it('has the same digest for each order of its sections', () => {
       const reversed = new Map([...sectionsOf(['history', 'history'])].reverse());
       const other = newDaemon();
-      other.adoptWhole(1, reversed, 'platform');
+      other.adoptContent(1, reversed, 'platform');
       expect(other.digest).to.equal(responder.digest);
     });
   });
@@ -119,14 +119,14 @@
       const daemon = newDaemon();
       read(daemon, 1, ['history']);
       expect(read(daemon, 1, ['alarms'])).to.equal(true);
-      expect(daemon.inForce).to.deep.equal(sectionsOf(['alarms']));
+      expect(daemon.active).to.deep.equal(sectionsOf(['alarms']));
       expect(read(daemon, 1, ['alarms'])).to.equal(false);
     });
 
     it('is not adopted from a peer', () => {
       const daemon = newDaemon();
       read(daemon, 1, ['history']);
-      expect(daemon.adoptWhole(1, sectionsOf(['alarms']), 'peer')).to.equal(false);
+      expect(daemon.adoptContent(1, sectionsOf(['alarms']), 'peer')).to.equal(false);
     });
   });
 });
@@ -137,7 +137,7 @@
   generation: number,
   services: readonly (string | undefined)[],
 ): boolean {
-  return daemon.adoptWhole(generation, sectionsOf(services), 'platform');
+  return daemon.adoptContent(generation, sectionsOf(services), 'platform');
 }
 
 function expectTrueContent(steps: readonly Step[]): void {
@@ -145,7 +145,7 @@
   const daemons = Array.from({ length: DAEMONS }, newDaemon);
   for (const taken of steps) {
     take(taken, daemons, written);
-    for (const { generation, inForce } of daemons) {
+    for (const { generation, active: inForce } of daemons) {
       if (generation > 0) expect(inForce).to.deep.equal(written[generation - 1]);
     }
   }
@@ -157,14 +157,14 @@
       written.push(sectionsOf(taken.routes));
       break;
     case 'read':
-      if (written.length > 0) daemons[taken.at]!.adoptWhole(written.length, written.at(-1)!, 'platform');
+      if (written.length > 0) daemons[taken.at]!.adoptContent(written.length, written.at(-1)!, 'platform');
       break;
     case 'restart':
       daemons[taken.at] = newDaemon();
       break;
     case 'take': {
       const [requester, responder] = [daemons[taken.at]!, daemons[taken.from]!];
-      requester.adoptAnswer(responder.answer(requester.question()), 'peer');
+      requester.adoptResponse(responder.createResponse(requester.createRequest()), 'peer');
     }
   }
 }
--- a/tests/configurationSpread.spec.ts
+++ b/tests/configurationDistribution.spec.ts
@@ -1,5 +1,5 @@
 import { ManualClock } from '@cleatquay/clock';
-import { Configuration, ConfigurationSpread, Freshness, type Sections } from '@cleatquay/configuration';
+import { Configuration, ConfigurationDistribution, Freshness, type Sections } from '@cleatquay/configuration';
 import { type ConfigurationAnswer, type ConfigurationRequest } from '@cleatquay/protocol';
 import { expect } from 'chai';
 
@@ -17,7 +17,7 @@
   let peers: Map<string, Peer>;
   let asked: string[];
   let mismatches: string[];
-  let distribution: ConfigurationSpread;
+  let distribution: ConfigurationDistribution;
 
   const configurationOf = (generation: number, sections: Sections) => {
     const daemon = new Configuration<Sections>(
@@ -25,11 +25,11 @@
       s => s,
       () => undefined,
     );
-    daemon.adoptWhole(generation, sections, 'platform');
+    daemon.adoptContent(generation, sections, 'platform');
     return daemon;
   };
   const peerOf = (daemon: Configuration<Sections>): Peer => {
-    return request => Promise.resolve(daemon.answer(request));
+    return request => Promise.resolve(daemon.createResponse(request));
   };
   const newest = () => configurationOf(2, NEW);
 
@@ -39,22 +39,22 @@
     asked = [];
     mismatches = [];
     peers = new Map(OTHERS.map(name => [name, peerOf(configurationOf(1, OLD))]));
-    distribution = new ConfigurationSpread({
+    distribution = new ConfigurationDistribution({
       clock,
       random: () => 0.5,
       configuration,
       store: undefined,
       freshness: new Freshness(clock, configuration),
       isReader: () => false,
-      onReach: () => undefined,
+      onReachability: () => undefined,
       fetch: (peer, request) => {
         asked.push(peer);
         return peers.get(peer)!(request);
       },
       // Peers in the same failure domain are asked first, although they have not announced it.
-      inOrder: holders => ['a', 'b', ...holders],
-      patienceMs: () => 0,
-      onDoubt: peer => mismatches.push(peer),
+      fetchOrder: holders => ['a', 'b', ...holders],
+      fetchDelayMs: () => 0,
+      onDigestMismatch: peer => mismatches.push(peer),
       onPeerFailure: () => undefined,
     });
   });
@@ -67,13 +67,13 @@
       await new Promise(resolve => setImmediate(resolve));
     }
   };
-  const announce = (peer: string, daemon = newest()) => distribution.heard(daemon, peer);
+  const announce = (peer: string, daemon = newest()) => distribution.handleAnnouncement(daemon, peer);
 
   it('is fetched from the peer that has announced it, and not from random peers', async () => {
     peers.set(HOLDER, peerOf(newest()));
     announce(HOLDER);
     await advance(100);
-    expect(configuration.inForce).to.deep.equal(NEW);
+    expect(configuration.active).to.deep.equal(NEW);
     expect(asked).to.deep.equal(['a', 'b', HOLDER]);
   });
 
@@ -83,7 +83,7 @@
     announce('unresponsive');
     announce(HOLDER);
     await advance(400);
-    expect(configuration.inForce).to.deep.equal(NEW);
+    expect(configuration.active).to.deep.equal(NEW);
   });
 
   it('is fetched again from a peer that was unreachable, as soon as that announces it again', async () => {
@@ -96,14 +96,14 @@
     peers.set(HOLDER, peerOf(newest()));
     announce(HOLDER);
     await advance(400);
-    expect(configuration.inForce).to.deep.equal(NEW);
+    expect(configuration.active).to.deep.equal(NEW);
   });
 
   describe('with other content under the same generation', () => {
     const other = () => configurationOf(2, OLD);
 
     beforeEach(() => {
-      configuration.adoptAnswer(newest().answer(configuration.question()), HOLDER);
+      configuration.adoptResponse(newest().createResponse(configuration.createRequest()), HOLDER);
     });
 
     it('is reported as a digest mismatch, once', () => {
@@ -115,7 +115,7 @@
     });
 
     it('is not reported if the platform has confirmed the active content', () => {
-      configuration.adoptWhole(2, NEW, 'platform');
+      configuration.adoptContent(2, NEW, 'platform');
       announce('a', other());
       expect(mismatches).to.deep.equal([]);
     });
--- a/tests/configurationWatch.spec.ts
+++ b/tests/configurationWatcher.spec.ts
@@ -1,5 +1,10 @@
 import { ManualClock } from '@cleatquay/clock';
-import { Configuration, ConfigurationWatch, Freshness, type SourcedVersion } from '@cleatquay/configuration';
+import {
+  Configuration,
+  ConfigurationWatcher,
+  Freshness,
+  type SourcedVersion,
+} from '@cleatquay/configuration';
 import { expect } from 'chai';
 
 const VERSION: SourcedVersion = { generation: 1, sections: new Map([['general', '{}']]) };
@@ -9,7 +14,7 @@
   let isOnDuty: boolean;
   let calls: number;
   let respond: () => Promise<SourcedVersion | undefined>;
-  let watch: ConfigurationWatch;
+  let watch: ConfigurationWatcher;
   let configuration: Configuration<unknown>;
   let reached: boolean[];
 
@@ -30,16 +35,16 @@
       sections => sections,
       () => undefined,
     );
-    watch = new ConfigurationWatch({
+    watch = new ConfigurationWatcher({
       clock,
       configuration,
       freshness: new Freshness(clock, configuration),
       source: { read: call, next: call },
-      isOnDuty: () => isOnDuty,
+      mustReadPlatform: () => isOnDuty,
       waitMs: () => 1000,
-      paceMs: () => undefined,
-      pauseMs: () => 500,
-      onReach: isReached => reached.push(isReached),
+      readIntervalMs: () => undefined,
+      retryDelayMs: () => 500,
+      onReachability: isReached => reached.push(isReached),
       log: () => undefined,
     });
     watch.start();
@@ -72,15 +77,15 @@
 
   it('reads it after a digest mismatch, until it has confirmed the generation', async () => {
     const peerSections = new Map([['general', '{"of":"a peer"}']]);
-    configuration.adoptWhole(2, peerSections, 'peer');
+    configuration.adoptContent(2, peerSections, 'peer');
     await advance(2000);
     const before = calls;
-    watch.doubt();
+    watch.onDigestMismatch();
     await advance(3000);
     expect(calls, 'an older version confirms nothing').to.be.above(before + 1);
     respond = () => Promise.resolve({ ...VERSION, generation: 2 });
     await advance(3000);
-    expect(configuration.inForce).to.deep.equal(VERSION.sections);
+    expect(configuration.active).to.deep.equal(VERSION.sections);
     const confirmed = calls;
     await advance(10_000);
     expect(calls).to.equal(confirmed);
--- a/tests/freshness.spec.ts
+++ b/tests/freshness.spec.ts
@@ -29,19 +29,19 @@
   });
 
   const receive = (change: object, requestedAt = freshness.moment()) =>
-    freshness.heard({ generation: 5, shortDigest: 55, ageMs: 100, ...change }, requestedAt);
+    freshness.receiveProof({ generation: 5, shortDigest: 55, ageMs: 100, ...change }, requestedAt);
 
   it('is unknown at first, and while there is no configuration', () => {
     expect(freshness.ageMs).to.equal(Number.POSITIVE_INFINITY);
     configuration.generation = 0;
-    freshness.confirmed(freshness.moment());
+    freshness.confirm(freshness.moment());
     expect(freshness.ageMs).to.equal(Number.POSITIVE_INFINITY);
   });
 
   it('counts from the beginning of a read, and from the request to a peer', () => {
     const begun = freshness.moment();
     time.advance(400);
-    freshness.confirmed(begun);
+    freshness.confirm(begun);
     expect(freshness.ageMs).to.equal(400);
     const requestedAt = freshness.moment();
     time.advance(50);
--- a/tests/membership.spec.ts
+++ b/tests/membership.spec.ts
@@ -106,7 +106,7 @@
     it('is complete within two seconds, for a few hundred bytes per pair', async () => {
       await using network = new SimulatedNetwork('many');
       for (const [i, address] of addresses(SIZE).entries()) {
-        network.start(address, []).meet(addresses(i));
+        network.start(address, []).join(addresses(i));
         if (i % 6 === 5) await network.pass(10);
       }
       await network.pass(2000);
--- a/tests/meeting.spec.ts
+++ b/tests/peerDiscovery.spec.ts
@@ -1,41 +1,46 @@
 import { ManualClock } from '@cleatquay/clock';
-import { type KeptState, Meeting, type MeetingRow, type Membership } from '@cleatquay/membership';
+import {
+  type PersistedState,
+  PeerDiscovery,
+  type DiscoveryRow,
+  type Membership,
+} from '@cleatquay/membership';
 import { expect } from 'chai';
 
 const SELF = '127.0.0.1:1';
 const DEPARTURE = { instanceId: 'left', born: 0 };
-const RECORDED: MeetingRow = { address: SELF, gossipAddress: SELF, departures: [DEPARTURE], upstreams: [] };
+const RECORDED: DiscoveryRow = { address: SELF, gossipAddress: SELF, departures: [DEPARTURE], upstreams: [] };
 
 /** The part of a membership that peer discovery uses, without any other member. */
 const membership = {
   me: { address: SELF, gossipAddress: SELF },
-  meet: () => undefined,
+  join: () => undefined,
   aliveCount: () => 0,
   table: new Map(),
 } as unknown as Membership;
 
 describe('the row of a daemon in the discovery table', () => {
-  let rows: MeetingRow[];
-  let persisted: KeptState;
+  let rows: DiscoveryRow[];
+  let persisted: PersistedState;
   let allowRead: () => void;
-  let discovery: Meeting;
+  let discovery: PeerDiscovery;
 
   beforeEach(() => {
     rows = [RECORDED];
     persisted = { departures: [], upstreams: [] };
     const isReadable = new Promise<void>(resolve => (allowRead = resolve));
-    discovery = new Meeting({
+    discovery = new PeerDiscovery({
       clock: new ManualClock(),
       random: () => 0.5,
       membership,
-      isTender: () => false,
+      maintainsTable: () => false,
       table: {
         create: async row => {
           await isReadable;
           const former = rows.find(({ address }) => address === row.address);
-          if (former) return { isDone: false, version: 1, former };
+          if (former) return { isDone: false, version: 1, recorded: former };
           rows = [row];
-          return { isDone: true, version: 1, former: undefined };
+          return { isDone: true, version: 1, recorded: undefined };
         },
         list: () => Promise.resolve(rows.map(row => ({ ...row, version: 1 }))),
         put: row => {
@@ -44,8 +49,8 @@
         },
         remove: () => Promise.resolve(),
       },
-      kept: () => persisted,
-      onFormer: recorded => (persisted = recorded),
+      persisted: () => persisted,
+      onRestore: recorded => (persisted = recorded),
       log: () => undefined,
     });
   });
@@ -57,7 +62,7 @@
     await discovery.record();
     expect(rows).to.deep.equal([RECORDED]);
     allowRead();
-    await discovery.met;
+    await discovery.firstRoundDone;
     expect(rows[0]?.departures).to.deep.equal([DEPARTURE]);
   });
 
--- a/tests/revocation.spec.ts
+++ b/tests/revocation.spec.ts
@@ -73,7 +73,7 @@
     await until(async () => (await statusesWith('kept')).every(status => status === 503));
     revokeKey(2);
     const { daemon } = await fleet.add({ service: 'history' }, 'late');
-    daemon.membership.meet([fleet.nodes[0]!.daemon.membership.me.gossipAddress]);
+    daemon.membership.join([fleet.nodes[0]!.daemon.membership.me.gossipAddress]);
     await until(() => daemon.configuration.generation === 1);
     expect((await sendTo(2, 'revoked')).status).to.equal(503);
   });
