--- a/packages/admission/src/adaptiveLimit.ts
+++ b/packages/admission/src/adaptiveLimit.ts
@@ -1,6 +1,6 @@
 /** Limits the concurrency of an upstream: its announced slots, reduced while the upstream sheds load itself. */
 import { type Clock } from '@cleatquay/clock';
-import { FullLoad } from './fullLoad.js';
+import { SaturationDetector } from './saturationDetector.js';
 
 const SLOW_START_RATIO = 0.1;
 const DECREASE_FACTOR = 0.9;
@@ -14,7 +14,7 @@
 
 /** Grows with responses (slow start, then additively), shrinks when the upstream sheds; never exceeds the announced slots. */
 export class AdaptiveLimit {
-  private readonly saturation: FullLoad;
+  private readonly saturation: SaturationDetector;
   private limit: number;
   private slowStartThreshold: number;
   private decreasedAt = Number.NEGATIVE_INFINITY;
@@ -24,7 +24,7 @@
     private slots: number,
     cold: boolean,
   ) {
-    this.saturation = new FullLoad(clock);
+    this.saturation = new SaturationDetector(clock);
     this.limit = cold ? Math.max(1, slots * SLOW_START_RATIO) : slots;
     this.slowStartThreshold = slots;
   }
@@ -42,12 +42,12 @@
   }
 
   /** Records the duration of a run that made no calls; see SaturationDetector. */
-  ran(route: string, share: number, ms: number): void {
+  recordRun(route: string, share: number, ms: number): void {
     this.saturation.recordRun(route, share, ms);
   }
 
   /** Applies newly announced slots; keeps the ratio of the limit to them. */
-  announce(slots: number): void {
+  setSlots(slots: number): void {
     if (slots === this.slots) return;
     this.limit = Math.min(slots, this.limit * (slots / this.slots));
     this.slowStartThreshold = slots;
--- a/packages/admission/src/admission.ts
+++ b/packages/admission/src/admission.ts
@@ -103,7 +103,7 @@
   }
 
   private get hasCapacity(): boolean {
-    return this.inFlight < Math.min(this.limit.value, this.rate.maxInFlight) && this.rate.hasRoom;
+    return this.inFlight < Math.min(this.limit.value, this.rate.maxInFlight) && this.rate.hasToken;
   }
 
   /** Concurrency that the upstream's rate limit allows, at least one (Little's law). */
@@ -116,7 +116,7 @@
   private grant(): Permit {
     invariant(this.hasCapacity, 'Admission: a permit was granted beyond a limit.');
     this.inFlight++;
-    this.rate.take();
+    this.rate.consumeToken();
     this.counts.admitted++;
     const start = this.options.clock.now();
     let isActive = true;
--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -1,9 +1,9 @@
 /** Admission control: concurrency and rate limits of an upstream, and the order in which requests are refused under overload. */
 export { Admission, type AdmissionOptions, type Permit, type PermitResult } from './admission.js';
 export { AdaptiveLimit } from './adaptiveLimit.js';
-export { FullLoad } from './fullLoad.js';
+export { SaturationDetector } from './saturationDetector.js';
 export { AdmissionLevel } from './admissionLevel.js';
-export { levelOf, sendingLevel, strictLevelOf } from './level.js';
+export { requestLevel, forwardingLevel, strictRequestLevel } from './requestLevel.js';
 export { RouteCosts } from './routeCosts.js';
 export { RateLimit } from './rateLimit.js';
 export { ProcessorPressure } from './processorPressure.js';
--- a/packages/admission/src/rateLimit.ts
+++ b/packages/admission/src/rateLimit.ts
@@ -43,24 +43,24 @@
    * Removes the limit after a response without a rate. A response to a request that was sent (`askedAt`, by `awake`) before the
    * rate was last reported is ignored, since responses may arrive out of order.
    */
-  notNamed(askedAt: number): void {
+  onRateAbsent(askedAt: number): void {
     this.hasResponded = true;
     if (askedAt > this.rateReceivedAt) this.rate = undefined;
   }
 
   /** Applies a rate that a peer reports; ignored once the upstream has responded to this process. */
-  told(perSecond: number): void {
+  applyPeerRate(perSecond: number): void {
     if (!this.hasResponded) this.applyRate(perSecond);
   }
 
   /** Ensures that one request is allowed at once. */
-  allowOne(): void {
+  allowProbe(): void {
     this.refill();
     this.tokens = Math.max(1, this.tokens);
   }
 
   /** Whether a request is allowed now. */
-  get hasRoom(): boolean {
+  get hasToken(): boolean {
     if (this.rate === undefined) return true;
     this.refill();
     return this.tokens >= 1;
@@ -73,7 +73,7 @@
   }
 
   /** Spends the token of one request. */
-  take(): void {
+  consumeToken(): void {
     if (this.rate !== undefined) this.tokens--;
   }
 
--- a/packages/admission/src/level.ts
+++ b/packages/admission/src/requestLevel.ts
@@ -16,7 +16,7 @@
  * id of the root request. Lower levels have higher priority. Follows the business and user priorities of DAGOR (Zhou et al.,
  * Overload Control for Scaling WeChat Microservices, SoCC 2018), which has no guaranteed share.
  */
-export function levelOf(rank: number, rootId: string): number {
+export function requestLevel(rank: number, rootId: string): number {
   const fraction = hashFraction(rootId);
   if (rank === 0) return fraction;
   if (fraction < GUARANTEED_RATIO) return fraction / GUARANTEED_RATIO;
@@ -28,7 +28,7 @@
  * The level of a request without the guaranteed share. Used when the process itself is short of processor time, since each request that it then
  * accepts delays all others.
  */
-export function strictLevelOf(rank: number, rootId: string): number {
+export function strictRequestLevel(rank: number, rootId: string): number {
   return rank + hashFraction(rootId);
 }
 
@@ -44,6 +44,6 @@
  * Guards against: more call chains than the last service of the chain has capacity for. Its admission level is some 100 ms
  * old where a chain begins and changes by a tenth meanwhile, so that an admitted chain would be refused at its first call.
  */
-export function sendingLevel(level: number, depth: number): number {
+export function forwardingLevel(level: number, depth: number): number {
   return depth > 0 ? 0 : level;
 }
--- a/packages/admission/src/routeCosts.ts
+++ b/packages/admission/src/routeCosts.ts
@@ -30,7 +30,7 @@
   private readonly all: Mean = { ms: 0, runs: 0 };
 
   /** Records the duration of a run. */
-  ran(route: string, ms: number): void {
+  recordRun(route: string, ms: number): void {
     let mean = this.routes.get(route);
     if (!mean) this.routes.set(route, (mean = { ms: 0, runs: 0 }));
     add(mean, ms);
@@ -38,7 +38,7 @@
   }
 
   /** The level by which a root request of the route is queued, given its own `level`. */
-  levelInQueue(route: string, level: number): number {
+  queueLevel(route: string, level: number): number {
     const rank = Math.floor(level);
     const fraction = level - rank;
     const moved = Math.min(fraction ** (1 / this.exponent(route)), fraction / MIN_ADMISSION_RATIO);
@@ -46,7 +46,7 @@
   }
 
   /** The admission level for root requests of the route, given the admission level of the queue; the inverse of the queue level. */
-  levelForFresh(route: string, level: number): number {
+  rootAdmissionLevel(route: string, level: number): number {
     const exponent = this.exponent(route);
     if (exponent === 1 || !Number.isFinite(level)) return level;
     const rank = Math.floor(level);
--- a/packages/admission/src/fullLoad.ts
+++ b/packages/admission/src/saturationDetector.ts
@@ -40,7 +40,7 @@
 }
 
 /** Measures the runs of one upstream. */
-export class FullLoad {
+export class SaturationDetector {
   private readonly routes = new Map<string, RouteTimes>();
   private slotsRatio = 1;
 
--- a/packages/calls/src/attemptRegistry.ts
+++ b/packages/calls/src/attemptRegistry.ts
@@ -2,7 +2,7 @@
  * The state of non-idempotent attempts at this daemon. It lets the daemon report how an attempt went to a sender that lost
  * the connection, and seal an attempt: bar it from dispatch for good.
  */
-import { Cancellation, type Clock, NOT_NEEDED } from '@cleatquay/clock';
+import { Cancellation, type Clock, NO_LONGER_NEEDED } from '@cleatquay/clock';
 import { type Refusal, type SealAnswer, type SealRequest, refusalOf } from '@cleatquay/protocol';
 import { type RecordedResponse } from './responses.js';
 
@@ -95,7 +95,7 @@
   private async waitFor(record: AttemptRecord, waitMs: number): Promise<void> {
     const waited = new Cancellation();
     await Promise.race([record.whenEnded, this.clock.sleep(waitMs, waited.signal)]);
-    waited.abort(NOT_NEEDED);
+    waited.abort(NO_LONGER_NEEDED);
   }
 
   private add(requestId: string, attempt: number, state: AttemptState): AttemptRecord {
--- a/packages/calls/src/forwarder.ts
+++ b/packages/calls/src/forwarder.ts
@@ -1,6 +1,12 @@
 /** Forwards calls to upstreams: selects one, sends the request, verifies the response, seals lost attempts, and retries within the budget. */
-import { levelOf, sendingLevel } from '@cleatquay/admission';
-import { CALLER_LEFT, type CancelSignal, Cancellation, type Clock, type Random } from '@cleatquay/clock';
+import { requestLevel, forwardingLevel } from '@cleatquay/admission';
+import {
+  CALLER_DISCONNECTED,
+  type CancelSignal,
+  Cancellation,
+  type Clock,
+  type Random,
+} from '@cleatquay/clock';
 import {
   type AnswerPart,
   type CallContext,
@@ -91,8 +97,8 @@
     const fingerprinted = new FingerprintedRequest(head, body);
     if (!body.completeBody) await body.prefetch();
     retries.countRequest(route.service, context.isRepeat);
-    const level = levelOf(context.class, context.rootId);
-    const levelToSend = sendingLevel(level, context.depth);
+    const level = requestLevel(context.class, context.rootId);
+    const levelToSend = forwardingLevel(level, context.depth);
     const tried = new Set<string>();
     let tokens = context.retryTokens;
     let lastAttempt: FailedAttempt | undefined;
@@ -125,7 +131,7 @@
         to: candidate.address,
         failureDomain: candidate.failureDomain,
         remainingMs,
-        ...router.knownOf(candidate),
+        ...router.statisticsSummary(candidate),
       });
       const result = await this.attempt({
         route,
@@ -181,7 +187,7 @@
   private async attempt(attempt: Attempt): Promise<CallResponse | FailedAttempt> {
     const { router, peers, self, local, retries } = this.options;
     const { candidate, head, body } = attempt;
-    const ended = router.started(candidate.address);
+    const ended = router.trackCall(candidate.address);
     const timeLimit = this.limitTime(attempt);
     const finish = (result: CallResult) => {
       timeLimit[Symbol.dispose]();
@@ -223,7 +229,7 @@
   ): CallResponse | FailedAttempt {
     const { router } = this.options;
     const onLoad = ({ load }: AnswerPart) => {
-      if (load) router.heard(candidate.address, route.name, load);
+      if (load) router.recordLoad(candidate.address, route.name, load);
     };
     onLoad(first);
     this.notices.record(route.service, candidate, first);
@@ -291,7 +297,7 @@
   private limitTime({ route, context, signal }: Attempt) {
     if (this.options.signalsEnforceDeadline) return { signal, [Symbol.dispose]: NOTHING_TO_DISPOSE };
     const controller = new Cancellation();
-    const abort = () => controller.abort(CALLER_LEFT);
+    const abort = () => controller.abort(CALLER_DISCONNECTED);
     if (signal.aborted) abort();
     signal.addEventListener('abort', abort, { once: true });
     const timer = this.options.clock.after(
--- a/packages/calls/src/ingress.ts
+++ b/packages/calls/src/ingress.ts
@@ -1,5 +1,11 @@
 /** The ingress for requests of callers and for calls of the local upstream. */
-import { CALLER_LEFT, type CancelSignal, Cancellation, type Clock, NEVER_CANCELLED } from '@cleatquay/clock';
+import {
+  CALLER_DISCONNECTED,
+  type CancelSignal,
+  Cancellation,
+  type Clock,
+  NEVER_CANCELLED,
+} from '@cleatquay/clock';
 import {
   type AnswerPart,
   type CallContext,
@@ -9,7 +15,7 @@
   refusalOf,
 } from '@cleatquay/protocol';
 import { type Credentials, type Organisation } from '@cleatquay/organisations';
-import { type Directory } from '@cleatquay/routing';
+import { type UpstreamDirectory } from '@cleatquay/routing';
 import { type CallGraph, type Route } from '@cleatquay/settings';
 import { replay } from './responses.js';
 import {
@@ -64,7 +70,7 @@
   readonly generation: () => number;
   readonly forwarder: Forwarder;
   readonly peers: Peers;
-  readonly directory: Directory;
+  readonly directory: UpstreamDirectory;
   readonly deduplicator: RequestDeduplicator;
   readonly ids: RequestIdIssuer;
   readonly idempotencyKeys: IdempotencyKeys;
@@ -223,7 +229,7 @@
     const start = (until: CancelSignal) =>
       this.withTokensOf(parent, context, c => forwarder.forward(route, headOf(request, c), c, body, until));
     if (route.idempotent) {
-      yield* responseParts(start(Cancellation.any([signal, parent.signal], CALLER_LEFT)));
+      yield* responseParts(start(Cancellation.any([signal, parent.signal], CALLER_DISCONNECTED)));
       return;
     }
     await body.prefetch();
--- a/packages/calls/src/linkServer.ts
+++ b/packages/calls/src/linkServer.ts
@@ -1,5 +1,5 @@
 /** The server side of a link. */
-import { CALLER_LEFT, Cancellation, type Clock } from '@cleatquay/clock';
+import { CALLER_DISCONNECTED, Cancellation, type Clock } from '@cleatquay/clock';
 import {
   type AnswerPart,
   type ConfigurationAnswer,
@@ -162,7 +162,7 @@
 }
 
 function cancelCall({ requestParts, window, cancellation }: ServedCall): void {
-  cancellation.abort(CALLER_LEFT);
+  cancellation.abort(CALLER_DISCONNECTED);
   requestParts?.fail(new Error('The caller disconnected before the end of its request.'));
   window?.close();
 }
--- a/packages/calls/src/peers.ts
+++ b/packages/calls/src/peers.ts
@@ -1,5 +1,5 @@
 /** Connections to other daemons, opened on first use: a link to each for calls, and a gRPC client for rare requests. */
-import { type CancelSignal, Cancellation, type Clock, NOT_NEEDED, type Timer } from '@cleatquay/clock';
+import { type CancelSignal, Cancellation, type Clock, NO_LONGER_NEEDED, type Timer } from '@cleatquay/clock';
 import {
   type ConfigurationAnswer,
   type ConfigurationRequest,
@@ -112,13 +112,13 @@
     try {
       return await Promise.race([link.fetchConfiguration(request), timeout]);
     } finally {
-      cancellation.abort(NOT_NEEDED);
+      cancellation.abort(NO_LONGER_NEEDED);
     }
   }
 
   /** Closes the connections to a peer that was removed permanently. */
   forget(address: string): void {
-    this.reconnections.get(address)?.abort(NOT_NEEDED);
+    this.reconnections.get(address)?.abort(NO_LONGER_NEEDED);
     this.links.get(address)?.fail('was removed from the fleet');
     this.closeClient(address);
   }
@@ -131,7 +131,7 @@
   [Symbol.dispose](): void {
     this.isClosed = true;
     this.livenessTimer?.[Symbol.dispose]();
-    for (const reconnection of this.reconnections.values()) reconnection.abort(NOT_NEEDED);
+    for (const reconnection of this.reconnections.values()) reconnection.abort(NO_LONGER_NEEDED);
     for (const link of [...this.links.values()]) link.fail('is no longer needed');
     for (const address of this.addresses) this.closeClient(address);
   }
--- a/packages/calls/src/relay.ts
+++ b/packages/calls/src/relay.ts
@@ -3,8 +3,14 @@
  * caller only, and their status is all that the caller learns of the outcome. No other daemon forwards the request, so that
  * this one alone determines whether it may have run.
  */
-import { strictLevelOf } from '@cleatquay/admission';
-import { CALLER_LEFT, type CancelSignal, Cancellation, type Clock, type Random } from '@cleatquay/clock';
+import { strictRequestLevel } from '@cleatquay/admission';
+import {
+  CALLER_DISCONNECTED,
+  type CancelSignal,
+  Cancellation,
+  type Clock,
+  type Random,
+} from '@cleatquay/clock';
 import { type CallContext, type Refusal, type RequestHead, endOf, refusalOf } from '@cleatquay/protocol';
 import { type Credentials, type Organisation } from '@cleatquay/organisations';
 import { type HostRoute, type HostRoutes } from '@cleatquay/routes';
@@ -83,7 +89,8 @@
     const { organisation } = sender;
     const rank = routes.rankOf(route, organisation);
     const context = this.context(request, { ...route, rank }, parent, organisation);
-    const isRefused = !parent && strictLevelOf(context.class, context.rootId) >= this.options.pressureLevel();
+    const isRefused =
+      !parent && strictRequestLevel(context.class, context.rootId) >= this.options.pressureLevel();
     if (isRefused) return this.refuseForPressure(context);
     if (context.remainingMs > this.options.timeLeftMs()) return this.refuseForShutdown(context);
     const forward = (forwardedContext: CallContext) =>
@@ -182,7 +189,7 @@
       notice: undefined,
     };
     const cancellation = new Cancellation();
-    const cancel = () => cancellation.abort(CALLER_LEFT);
+    const cancel = () => cancellation.abort(CALLER_DISCONNECTED);
     if (signal.aborted) cancel();
     else signal.addEventListener('abort', cancel, { once: true });
     return new Promise(resolve => {
--- a/packages/calls/src/requestDeduplicator.ts
+++ b/packages/calls/src/requestDeduplicator.ts
@@ -2,7 +2,7 @@
  * At-most-once execution: the daemon that issued a request id is the only one to start the request, and keeps its
  * result until the id expires. A resend waits for the running request or gets the same response.
  */
-import { type CancelSignal, Cancellation, type Clock, NOT_NEEDED } from '@cleatquay/clock';
+import { type CancelSignal, Cancellation, type Clock, NO_LONGER_NEEDED } from '@cleatquay/clock';
 import { type Outcome, invariant } from '@cleatquay/errors';
 import { type AnswerPart, type Refusal, endOf, refusalOf } from '@cleatquay/protocol';
 import { type CallResponse, responseParts } from './callHandler.js';
@@ -72,12 +72,12 @@
     signal: CancelSignal,
   ): Promise<RequestResult | undefined> {
     const waited = new Cancellation();
-    const stop = () => waited.abort(NOT_NEEDED);
+    const stop = () => waited.abort(NO_LONGER_NEEDED);
     signal.addEventListener('abort', stop, { once: true });
     const timeout = this.clock.sleep(waitMs, waited.signal).then(() => undefined);
     const result = await Promise.race([record.whenEnded, timeout]);
     signal.removeEventListener('abort', stop);
-    waited.abort(NOT_NEEDED);
+    waited.abort(NO_LONGER_NEEDED);
     return result;
   }
 
--- a/packages/calls/src/upstreamDispatcher.ts
+++ b/packages/calls/src/upstreamDispatcher.ts
@@ -1,13 +1,13 @@
 /** Admits calls, dispatches them to the local upstream, and records which ones were dispatched. */
-import { type Permit, levelOf } from '@cleatquay/admission';
+import { type Permit, requestLevel } from '@cleatquay/admission';
 import {
-  CALLER_LEFT,
+  CALLER_DISCONNECTED,
   type CancelSignal,
   Cancellation,
   type Clock,
   DEADLINE_PASSED,
   NEVER_CANCELLED,
-  NOT_NEEDED,
+  NO_LONGER_NEEDED,
 } from '@cleatquay/clock';
 import { type ResultName, resultByCode } from '@cleatquay/errors';
 import {
@@ -186,8 +186,8 @@
     const { requestId } = context;
     const barredRefusal = route.idempotent ? undefined : tries.register(requestId, context.try);
     if (barredRefusal) return barredRefusal;
-    const ownLevel = levelOf(context.class, context.rootId);
-    const level = context.depth > 0 ? ownLevel : upstream.costs.levelInQueue(route.name, ownLevel);
+    const ownLevel = requestLevel(context.class, context.rootId);
+    const level = context.depth > 0 ? ownLevel : upstream.costs.queueLevel(route.name, ownLevel);
     const permit = await upstream.admission.request(level, context.remainingMs, signal);
     if ('release' in permit) {
       if (route.idempotent || tries.markDispatched(requestId)) return permit;
@@ -234,8 +234,8 @@
     try {
       const response = this.toResponse(admitted, call, await this.ask(admitted, cancellation.signal));
       const tookMs = clock.now() - startedAt;
-      upstream.costs.ran(route.name, tookMs);
-      if (!call.hasMadeCalls) upstream.admission.limit.ran(route.name, permit.share, tookMs);
+      upstream.costs.recordRun(route.name, tookMs);
+      if (!call.hasMadeCalls) upstream.admission.limit.recordRun(route.name, permit.share, tookMs);
       const waitedMs = Math.round(tookMs);
       journal.record(context.requestId, 'The upstream responded.', { status: statusOf(response), waitedMs });
       journal.requestEnded(context.requestId, false);
@@ -382,7 +382,8 @@
   private load(upstream: LocalUpstream, route: CallRoute, { depth }: CallContext): Load {
     const load = upstream.admission.load();
     const { admissionLevel } = load;
-    const levelHere = depth > 0 ? admissionLevel : upstream.costs.levelForFresh(route.name, admissionLevel);
+    const levelHere =
+      depth > 0 ? admissionLevel : upstream.costs.rootAdmissionLevel(route.name, admissionLevel);
     return { ...load, admissionLevel: Math.min(levelHere, this.options.downstreamLevel(route)) };
   }
 }
@@ -393,7 +394,7 @@
 /** A signal that aborts when the sender's does or at the time limit; its reason states which. */
 function cancellationOf(clock: Clock, timeLimitMs: number, outer: CancelSignal) {
   const controller = new Cancellation();
-  const abortOnDisconnect = () => controller.abort(CALLER_LEFT);
+  const abortOnDisconnect = () => controller.abort(CALLER_DISCONNECTED);
   if (outer.aborted) abortOnDisconnect();
   outer.addEventListener('abort', abortOnDisconnect, { once: true });
   const timer = clock.after(timeLimitMs, () => controller.abort(DEADLINE_PASSED));
@@ -402,7 +403,7 @@
     [Symbol.dispose]: () => {
       timer[Symbol.dispose]();
       outer.removeEventListener('abort', abortOnDisconnect);
-      controller.abort(NOT_NEEDED);
+      controller.abort(NO_LONGER_NEEDED);
     },
   };
 }
--- a/packages/clock/src/clock.ts
+++ b/packages/clock/src/clock.ts
@@ -30,7 +30,7 @@
 /** Time sources of a machine, each in milliseconds. */
 export interface TimeSources {
   /** Monotonic clock. On most systems it stops while the VM is suspended. */
-  readonly steady: () => number;
+  readonly monotonic: () => number;
   /** Wall clock, as Unix time; may be set forward or back. */
   readonly date: () => number;
   /** Time since boot, including suspensions. */
@@ -39,7 +39,7 @@
 
 /** The time sources of this machine. */
 export const MACHINE_TIME: TimeSources = {
-  steady: () => performance.now(),
+  monotonic: () => performance.now(),
   date: () => Date.now(),
   uptime: () => uptime() * MS_PER_SECOND,
 };
@@ -70,14 +70,14 @@
   private uptimeState: 'unchecked' | 'trusted' | 'untrusted' = 'unchecked';
 
   constructor(private readonly sources = MACHINE_TIME) {
-    this.startedAt = sources.steady();
+    this.startedAt = sources.monotonic();
     this.dateOffset = sources.date() - this.startedAt;
     this.uptimeOffset = sources.uptime() - this.startedAt;
   }
 
   now(): number {
     const { sources } = this;
-    const monotonic = sources.steady();
+    const monotonic = sources.monotonic();
     const dateOffset = sources.date() - monotonic;
     if (Math.abs(dateOffset - this.dateOffset) > MIN_DATE_JUMP_MS) this.checkDateJump(dateOffset, monotonic);
     else if (this.uptimeState === 'unchecked' && monotonic - this.startedAt > UPTIME_CHECK_MS)
@@ -86,7 +86,7 @@
   }
 
   awake(): number {
-    return this.sources.steady();
+    return this.sources.monotonic();
   }
 
   date(): Date {
--- a/packages/clock/src/forwardTime.ts
+++ b/packages/clock/src/elapsedTime.ts
@@ -5,7 +5,7 @@
  * Advances by the larger advance of the monotonic and the wall clock since the last reading, and never goes back. For time limits that must not be
  * exceeded: setting the wall clock forward ends them early, and nothing ends them late.
  */
-export class ForwardTime {
+export class ElapsedTime {
   private elapsedMs = 0;
   private lastMonotonic: number;
   private lastDate: number;
--- a/packages/daemon/src/callerDisconnect.ts
+++ b/packages/daemon/src/callerDisconnect.ts
@@ -1,5 +1,5 @@
 /** Detects as early as possible that a caller has disconnected. */
-import { CALLER_LEFT, Cancellation } from '@cleatquay/clock';
+import { CALLER_DISCONNECTED, Cancellation } from '@cleatquay/clock';
 import { type IncomingMessage, type ServerResponse } from 'node:http';
 import { type Socket } from 'node:net';
 
@@ -22,7 +22,7 @@
   connection.current = disconnect;
   response.on('close', () => {
     if (connection.current === disconnect) connection.current = undefined;
-    if (!response.writableFinished) disconnect.abort(CALLER_LEFT);
+    if (!response.writableFinished) disconnect.abort(CALLER_DISCONNECTED);
   });
   return disconnect;
 }
@@ -32,6 +32,6 @@
   if (existing) return existing;
   const connection: CallerConnection = { current: undefined };
   connections.set(socket, connection);
-  socket.once('end', () => connection.current?.abort(CALLER_LEFT));
+  socket.once('end', () => connection.current?.abort(CALLER_DISCONNECTED));
   return connection;
 }
--- a/packages/daemon/src/createFleetQuotas.ts
+++ b/packages/daemon/src/createFleetQuotas.ts
@@ -1,5 +1,5 @@
 /** Connects the quotas of a daemon to its membership. */
-import { type Clock, ForwardTime, type Random } from '@cleatquay/clock';
+import { type Clock, ElapsedTime, type Random } from '@cleatquay/clock';
 import { type Membership } from '@cleatquay/membership';
 import { type QuotaDivision, Quotas } from '@cleatquay/organisations';
 
@@ -23,7 +23,7 @@
 /** Creates quotas that exchange their messages in membership datagrams. */
 export function createFleetQuotas(options: FleetQuotasOptions): Quotas {
   const { failureDomain, division, clock, random, membership, hasFleetView: knowsFleet } = options;
-  const monotonicTime = new ForwardTime(clock);
+  const monotonicTime = new ElapsedTime(clock);
   return new Quotas({
     clock,
     random,
--- a/packages/daemon/src/daemonCore.ts
+++ b/packages/daemon/src/daemonCore.ts
@@ -35,7 +35,7 @@
   type Member,
   type RequestHead,
 } from '@cleatquay/protocol';
-import { type Candidate, Directory, Router } from '@cleatquay/routing';
+import { type Candidate, UpstreamDirectory, Router } from '@cleatquay/routing';
 import { type Logger } from 'pino';
 import { DecisionLog } from './decisionLog.js';
 import { checkHealth } from './upstreamHealth.js';
@@ -108,7 +108,7 @@
   readonly decisionTrace: DecisionTrace;
   readonly membership: Membership;
   readonly upstreams: Upstreams;
-  readonly directory = new Directory();
+  readonly directory = new UpstreamDirectory();
   readonly attempts: AttemptRegistry;
   readonly running = new RunningCalls();
   readonly quarantine: Quarantine;
@@ -186,7 +186,7 @@
       directory: this.directory,
       self,
       failureDomain: settings.failureDomain,
-      contactOf: candidate => this.reachabilityOf(candidate),
+      reachabilityOf: candidate => this.reachabilityOf(candidate),
     });
     this.upstreamDispatcher = new UpstreamDispatcher({
       clock,
@@ -314,7 +314,7 @@
     if (cached && now - cached.at < DOWNSTREAM_LEVEL_CACHE_MS) return cached.level;
     const levels = this.options
       .downstreamCallsOf(route)
-      .map(({ service, name }) => this.router.levelFor(service, name));
+      .map(({ service, name }) => this.router.admissionLevelFor(service, name));
     const level = Math.min(Number.MAX_VALUE, ...levels);
     this.downstreamLevels.set(route.name, { at: now, level });
     return level;
--- a/packages/daemon/src/slowRateProbe.ts
+++ b/packages/daemon/src/slowRateProbe.ts
@@ -52,7 +52,7 @@
         .catch(() => undefined));
     const rateLimit = response ? response.notice?.rateLimit : undefined;
     if (typeof rateLimit === 'number') rate.named(rateLimit);
-    else if (response) rate.allowOne();
+    else if (response) rate.allowProbe();
     this.isScheduled = false;
     this.schedule();
   }
--- a/packages/daemon/src/upstreams.ts
+++ b/packages/daemon/src/upstreams.ts
@@ -219,7 +219,7 @@
     if (!upstream) return;
     const { rate } = upstream.admission;
     const isFirstRate = rate.perSecond === undefined;
-    rate.told(requestsPerSecond);
+    rate.applyPeerRate(requestsPerSecond);
     upstream.slowRateProbe.schedule(isFirstRate ? 'now' : 'later');
   }
 
@@ -300,7 +300,7 @@
       this.counts.withRateLimit++;
       rate.named(rateLimit);
       upstream.slowRateProbe.schedule();
-    } else if (rateLimit === 'none') rate.notNamed(askedAt);
+    } else if (rateLimit === 'none') rate.onRateAbsent(askedAt);
     upstream.noticeLog.update(notice, { service, instanceId });
     if (notice.isLeaving && !upstream.hasReportedLeaving) this.handleLeaving(upstream);
   }
@@ -323,7 +323,7 @@
     upstream.heartbeatTimer = this.startHeartbeatTimer(announcement);
     upstream.lastHeartbeatAt = this.options.clock.now();
     upstream.announcement = announcement;
-    upstream.admission.limit.announce(this.effectiveSlots(announcement));
+    upstream.admission.limit.setSlots(this.effectiveSlots(announcement));
     if (announcement.state === 'draining') this.departedStarts.add(announcement);
     this.setLeaving(upstream, this.isLeaving(upstream));
   }
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
 /** Load balancing: selects the upstream for a call. */
-export { type Candidate, Directory } from './directory.js';
+export { type Candidate, UpstreamDirectory } from './upstreamDirectory.js';
 export { Router, type RouterOptions, type Selection } from './router.js';
 export { type CallResult } from './peerStatistics.js';
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -2,7 +2,7 @@
 import { type Clock, type Random } from '@cleatquay/clock';
 import { type Load } from '@cleatquay/protocol';
 import { crc32 } from 'node:zlib';
-import { type Candidate, type Directory } from './directory.js';
+import { type Candidate, type UpstreamDirectory } from './upstreamDirectory.js';
 import { type CallResult, PeerStatistics } from './peerStatistics.js';
 
 const SAME_DOMAIN_SUBSET_SIZE = 12;
@@ -30,12 +30,12 @@
 export interface RouterOptions {
   readonly clock: Clock;
   readonly random: Random;
-  readonly directory: Directory;
+  readonly directory: UpstreamDirectory;
   /** ip:port of this daemon's peer protocol. */
   readonly self: string;
   readonly failureDomain: string;
   /** Reachability of a candidate; all count as reachable (`good`) by default. */
-  readonly contactOf?: (candidate: Candidate) => 'good' | 'silent' | 'lost';
+  readonly reachabilityOf?: (candidate: Candidate) => 'good' | 'silent' | 'lost';
 }
 
 /** The chosen candidate, or why there is none: all would refuse, or none is left. */
@@ -95,7 +95,7 @@
   }
 
   /** The figures behind the choice of a candidate, for the log. */
-  knownOf(candidate: Candidate): { outstanding: number; utilisation: number; loadAgeMs: number } {
+  statisticsSummary(candidate: Candidate): { outstanding: number; utilisation: number; loadAgeMs: number } {
     const statistics = this.statisticsOf(candidate.address);
     const utilisation = Math.round(100 * statistics.utilisation(candidate.slots)) / 100;
     return {
@@ -112,7 +112,7 @@
    * Only upstreams with the most recent reports count, since these receive the calls. There are no reports from other failure domains while
    * upstreams in the same one have capacity; counted as open, they would hide that the upstreams in use refuse calls.
    */
-  levelFor(service: string, route: string): number {
+  admissionLevelFor(service: string, route: string): number {
     const reachable = this.subset(service).all.filter(
       ({ candidate }) => this.reachabilityOf(candidate) !== 'lost',
     );
@@ -127,14 +127,14 @@
   }
 
   /** Records the start of a call to the candidate; the returned function records its end. */
-  started(address: string): (result: CallResult) => void {
+  trackCall(address: string): (result: CallResult) => void {
     const statistics = this.statisticsOf(address);
     const start = statistics.callStarted();
     return result => statistics.callEnded(result, start);
   }
 
   /** Records the load that the candidate reports. */
-  heard(address: string, route: string, load: Load): void {
+  recordLoad(address: string, route: string, load: Load): void {
     this.statisticsOf(address).recordLoad(route, load);
   }
 
@@ -187,7 +187,7 @@
   }
 
   private reachabilityOf(candidate: Candidate): 'good' | 'silent' | 'lost' {
-    return this.options.contactOf?.(candidate) ?? 'good';
+    return this.options.reachabilityOf?.(candidate) ?? 'good';
   }
 
   /** Leaves out unreachable candidates; also unresponsive and backed-off ones, unless no others remain. */
--- a/packages/routing/src/directory.ts
+++ b/packages/routing/src/upstreamDirectory.ts
@@ -11,7 +11,7 @@
 }
 
 /** Maps services to candidates. */
-export class Directory {
+export class UpstreamDirectory {
   private readonly byService = new Map<string, Map<string, Candidate>>();
   private readonly servicesOf = new Map<string, string[]>();
   private readonly versions = new Map<string, number>();
--- a/tests/admission.spec.ts
+++ b/tests/admission.spec.ts
@@ -1,4 +1,4 @@
-import { Admission, type Permit, levelOf, strictLevelOf } from '@cleatquay/admission';
+import { Admission, type Permit, requestLevel, strictRequestLevel } from '@cleatquay/admission';
 import { ManualClock } from '@cleatquay/clock';
 import { type Refusal } from '@cleatquay/protocol';
 import { expect } from 'chai';
@@ -86,10 +86,10 @@
     it('is the same at every hop, since levels derive from the id of the root request', () => {
       fc.assert(
         fc.property(fc.string(), fc.nat(5), (rootId, rank) => {
-          const level = levelOf(rank, rootId);
-          expect(level).to.equal(levelOf(rank, rootId));
+          const level = requestLevel(rank, rootId);
+          expect(level).to.equal(requestLevel(rank, rootId));
           expect([0, rank]).to.include(Math.floor(level));
-          expect(strictLevelOf(rank, rootId))
+          expect(strictRequestLevel(rank, rootId))
             .to.be.at.least(rank)
             .and.below(rank + 1);
         }),
@@ -97,7 +97,7 @@
     });
 
     it('follows the priority class, except for an eighth of each class, which is spread evenly over the top class', () => {
-      const levels = Array.from({ length: 8000 }, (_, index) => levelOf(2, `request-${String(index)}`));
+      const levels = Array.from({ length: 8000 }, (_, index) => requestLevel(2, `request-${String(index)}`));
       const guaranteed = levels.filter(level => level < 1);
       const others = levels.filter(level => level >= 2);
       expect(guaranteed.length + others.length).to.equal(levels.length);
--- a/tests/fairShares.spec.ts
+++ b/tests/fairShares.spec.ts
@@ -1,4 +1,4 @@
-import { Admission, levelOf } from '@cleatquay/admission';
+import { Admission, requestLevel } from '@cleatquay/admission';
 import { ManualClock, NEVER_CANCELLED, type Random, seededRandom } from '@cleatquay/clock';
 import { expect } from 'chai';
 
@@ -38,7 +38,7 @@
     const sent = loads.map(() => 0);
     const served = loads.map(() => 0);
     const send = async (organisation: number, isPeak: boolean) => {
-      const level = levelOf(1, `${String(organisation)} ${String(random())}`);
+      const level = requestLevel(1, `${String(organisation)} ${String(random())}`);
       if (isPeak) sent[organisation]!++;
       const permit = await admission.request(level, 1000, NEVER_CANCELLED);
       if (!('release' in permit)) return;
--- a/tests/rateLimit.spec.ts
+++ b/tests/rateLimit.spec.ts
@@ -23,8 +23,8 @@
   const takeAll = (rate: RateLimit, ms: number, stepMs = 5): number[] => {
     const times: number[] = [];
     for (const end = clock.now() + ms; clock.now() < end; clock.advance(stepMs)) {
-      while (rate.hasRoom && times.length < 10_000) {
-        rate.take();
+      while (rate.hasToken && times.length < 10_000) {
+        rate.consumeToken();
         times.push(clock.now());
       }
     }
@@ -51,7 +51,7 @@
           if (s.kind === 'take') times.push(...takeAll(rate, s.ms));
           else if (s.kind === 'pause') clock.advance(s.ms);
           else if (s.kind === 'report') rate.named(s.rate);
-          else rate.told(s.rate);
+          else rate.applyPeerRate(s.rate);
         }
         expect(mostWithin(times, WINDOW_MS)).to.be.at.most((50 * (WINDOW_MS + 500)) / 1000 + 1);
       }),
@@ -64,10 +64,10 @@
     rate.named(10);
     time.suspend(60_000);
     time.step(60_000);
-    expect(rate.hasRoom).to.equal(false);
+    expect(rate.hasToken).to.equal(false);
     time.pass(60_000);
     let taken = 0;
-    for (; rate.hasRoom; taken++) rate.take();
+    for (; rate.hasToken; taken++) rate.consumeToken();
     expect(taken).to.equal(5);
   });
 
@@ -88,19 +88,19 @@
     const askedAt = clock.awake();
     clock.advance(10);
     rate.named(5);
-    rate.notNamed(askedAt);
+    rate.onRateAbsent(askedAt);
     expect(rate.perSecond).to.equal(5);
     clock.advance(10);
-    rate.notNamed(clock.awake());
+    rate.onRateAbsent(clock.awake());
     expect(rate.perSecond).to.equal(undefined);
   });
 
   it('holds as reported by peers until the first response', () => {
     const rate = new RateLimit(clock);
-    rate.told(5);
+    rate.applyPeerRate(5);
     expect(rate.perSecond).to.equal(5);
-    rate.notNamed(clock.awake());
-    rate.told(5);
+    rate.onRateAbsent(clock.awake());
+    rate.applyPeerRate(5);
     expect(rate.perSecond).to.equal(undefined);
   });
 
@@ -244,10 +244,10 @@
       respond(0);
       await pass(10_000);
       expect(healthChecks).to.be.within(3, 4);
-      expect(history().admission.rate.hasRoom).to.equal(false);
+      expect(history().admission.rate.hasToken).to.equal(false);
       healthNotice = noticeWith('none');
       await pass(3000);
-      expect(history().admission.rate.hasRoom).to.equal(true);
+      expect(history().admission.rate.hasToken).to.equal(true);
       expect(perSecond()).to.equal(0);
       healthNotice = noticeWith(7);
       await pass(3000);
@@ -266,7 +266,7 @@
         await new Promise(resolve => setImmediate(resolve));
       }
       expect(healthChecks).to.equal(1);
-      expect(history().admission.rate.hasRoom).to.equal(true);
+      expect(history().admission.rate.hasToken).to.equal(true);
     });
 
     it('that is not slow is not probed', async () => {
--- a/tests/relay.spec.ts
+++ b/tests/relay.spec.ts
@@ -9,7 +9,13 @@
   Authenticator,
   singlePartResponse,
 } from '@cleatquay/calls';
-import { CALLER_LEFT, type CancelSignal, Cancellation, ManualClock, NEVER_CANCELLED } from '@cleatquay/clock';
+import {
+  CALLER_DISCONNECTED,
+  type CancelSignal,
+  Cancellation,
+  ManualClock,
+  NEVER_CANCELLED,
+} from '@cleatquay/clock';
 import { OrganisationCounts } from '@cleatquay/organisations';
 import { endOf, refusalOf } from '@cleatquay/protocol';
 import { type HostRoute, HostRoutes } from '@cleatquay/routes';
@@ -97,7 +103,7 @@
     const caller = new Cancellation();
     void relay().handle(REQUEST, Buffer.alloc(0), caller);
     expect(forwardedSignals[0]?.aborted).to.equal(false);
-    caller.abort(CALLER_LEFT);
+    caller.abort(CALLER_DISCONNECTED);
     expect(forwardedSignals[0]?.aborted).to.equal(true);
   });
 
--- a/tests/retryBudget.spec.ts
+++ b/tests/retryBudget.spec.ts
@@ -13,7 +13,7 @@
 } from '@cleatquay/calls';
 import { ManualClock, seededRandom } from '@cleatquay/clock';
 import { type AnswerPart, type CallContext, type RequestHead, endOf, refusalOf } from '@cleatquay/protocol';
-import { Directory, Router } from '@cleatquay/routing';
+import { UpstreamDirectory, Router } from '@cleatquay/routing';
 import { type Route } from '@cleatquay/settings';
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -39,7 +39,7 @@
     private readonly fanOut: number,
     private readonly outcomes: readonly AttemptOutcome[],
   ) {
-    const directory = new Directory();
+    const directory = new UpstreamDirectory();
     for (let i = 0; i < UPSTREAMS; i++) directory.update(member(i));
     const random = seededRandom('chain');
     this.router = new Router({ clock: this.clock, random, directory, self: 'none', failureDomain: 'a' });
--- a/tests/routeCosts.spec.ts
+++ b/tests/routeCosts.spec.ts
@@ -8,8 +8,8 @@
 function costsOf(ratio: number): RouteCosts {
   const costs = new RouteCosts();
   for (let i = 0; i < RUNS; i++) {
-    costs.ran('cheap', 10);
-    costs.ran('expensive', 10 * ratio);
+    costs.recordRun('cheap', 10);
+    costs.recordRun('expensive', 10 * ratio);
   }
   return costs;
 }
@@ -23,7 +23,7 @@
       fc.property(ratios, levels, levels, (ratio, a, b) => {
         const costs = costsOf(ratio);
         const [first, second] = [Math.min(a, b), Math.max(a, b)].map(level =>
-          costs.levelInQueue('expensive', level),
+          costs.queueLevel('expensive', level),
         );
         expect(first).to.be.at.most(second!);
         expect(Math.floor(first!)).to.equal(Math.floor(Math.min(a, b)));
@@ -35,8 +35,8 @@
     fc.assert(
       fc.property(ratios, levels, (ratio, level) => {
         const costs = costsOf(ratio);
-        expect(costs.levelInQueue('cheap', level)).to.equal(level);
-        expect(costs.levelInQueue('expensive', level)).to.be.at.least(level);
+        expect(costs.queueLevel('cheap', level)).to.equal(level);
+        expect(costs.queueLevel('expensive', level)).to.be.at.least(level);
       }),
     );
   });
@@ -48,7 +48,7 @@
         fc.integer({ min: 0, max: 2 }),
         fc.double({ min: 0.01, max: 1, noNaN: true }),
         (ratio, rank, share) => {
-          const rootLevel = costsOf(ratio).levelForFresh('expensive', rank + share) - rank;
+          const rootLevel = costsOf(ratio).rootAdmissionLevel('expensive', rank + share) - rank;
           expect(rootLevel).to.be.at.least(share / 2 - 1e-9);
         },
       ),
@@ -59,9 +59,9 @@
     fc.assert(
       fc.property(ratios, levels, levels, (ratio, level, refusedFrom) => {
         const costs = costsOf(ratio);
-        const rootLevel = costs.levelForFresh('expensive', refusedFrom);
+        const rootLevel = costs.rootAdmissionLevel('expensive', refusedFrom);
         fc.pre(Math.abs(level - rootLevel) > 1e-6);
-        expect(costs.levelInQueue('expensive', level) < refusedFrom).to.equal(level < rootLevel);
+        expect(costs.queueLevel('expensive', level) < refusedFrom).to.equal(level < rootLevel);
       }),
     );
   });
--- a/tests/routing.spec.ts
+++ b/tests/routing.spec.ts
@@ -1,6 +1,6 @@
 import { ManualClock, seededRandom } from '@cleatquay/clock';
 import { type Member } from '@cleatquay/protocol';
-import { Directory, Router, type RouterOptions } from '@cleatquay/routing';
+import { UpstreamDirectory, Router, type RouterOptions } from '@cleatquay/routing';
 import { expect } from 'chai';
 
 const NONE_TRIED: ReadonlySet<string> = new Set();
@@ -15,26 +15,26 @@
 
 describe('routing', () => {
   let clock: ManualClock;
-  let directory: Directory;
+  let directory: UpstreamDirectory;
   let router: Router;
 
   beforeEach(() => {
     clock = new ManualClock();
-    directory = new Directory();
+    directory = new UpstreamDirectory();
     directory.update(member('1', 'a'));
     directory.update(member('2', 'b'));
     directory.update(member('3', 'c'));
     router = newRouter();
   });
 
-  const newRouter = (contactOf?: RouterOptions['contactOf']) =>
+  const newRouter = (contactOf?: RouterOptions['reachabilityOf']) =>
     new Router({
       clock,
       random: seededRandom('routing'),
       directory,
       self: 'me',
       failureDomain: 'a',
-      ...(contactOf && { contactOf }),
+      ...(contactOf && { reachabilityOf: contactOf }),
     });
 
   const chosen = (level = 1) => {
@@ -54,7 +54,7 @@
 
   const measure = (name: string, ms: number, times = 20) => {
     for (let i = 0; i < times; i++) {
-      const ended = router.started(`127.0.0.1:${name}`);
+      const ended = router.trackCall(`127.0.0.1:${name}`);
       clock.advance(ms);
       ended('answered');
     }
@@ -65,15 +65,15 @@
   });
 
   it('spills over to other failure domains when it is busy', () => {
-    for (let i = 0; i < 10; i++) router.started('127.0.0.1:1');
+    for (let i = 0; i < 10; i++) router.trackCall('127.0.0.1:1');
     expect(shares()).to.not.have.any.keys('127.0.0.1:1');
   });
 
   describe('a full upstream in the same failure domain', () => {
     /** Starts calls on the upstream in the same failure domain, and on each of the others; each has ten slots. */
     const start = (sameDomain: number, otherDomain: number) => {
-      for (let i = 0; i < sameDomain; i++) router.started('127.0.0.1:1');
-      for (let i = 0; i < otherDomain; i++) ['2', '3'].forEach(name => router.started(`127.0.0.1:${name}`));
+      for (let i = 0; i < sameDomain; i++) router.trackCall('127.0.0.1:1');
+      for (let i = 0; i < otherDomain; i++) ['2', '3'].forEach(name => router.trackCall(`127.0.0.1:${name}`));
     };
 
     it('is chosen when those in other failure domains are hardly less busy', () => {
@@ -109,7 +109,7 @@
 
   it('detects an upstream that stops responding before the first of its calls has ended', () => {
     ['1', '2', '3'].forEach(name => measure(name, 10));
-    [1, 2, 3, 4].forEach(() => router.started('127.0.0.1:1'));
+    [1, 2, 3, 4].forEach(() => router.trackCall('127.0.0.1:1'));
     expect(shares()).to.have.all.keys('127.0.0.1:1');
     clock.advance(60);
     expect(shares()['127.0.0.1:1'] ?? 0).to.be.below(0.1);
@@ -122,17 +122,17 @@
 
   it('never chooses an upstream that would refuse the call, and refuses when all would', () => {
     const load = { inFlight: 0, queued: 0, limit: 10, admissionLevel: 1.5 };
-    router.heard('127.0.0.1:1', 's.run', load);
+    router.recordLoad('127.0.0.1:1', 's.run', load);
     expect(chosen(1.6)).to.not.equal('127.0.0.1:1');
-    router.heard('127.0.0.1:2', 's.run', load);
-    router.heard('127.0.0.1:3', 's.run', load);
+    router.recordLoad('127.0.0.1:2', 's.run', load);
+    router.recordLoad('127.0.0.1:3', 's.run', load);
     expect(chosen(1.6)).to.equal('refused');
     expect(chosen(1.4)).to.equal('127.0.0.1:1');
   });
 
   it('admits refused levels again when there are no newer reports', () => {
     const load = { inFlight: 0, queued: 0, limit: 10, admissionLevel: 0 };
-    ['1', '2', '3'].forEach(name => router.heard(`127.0.0.1:${name}`, 's.run', load));
+    ['1', '2', '3'].forEach(name => router.recordLoad(`127.0.0.1:${name}`, 's.run', load));
     expect(chosen(2.9)).to.equal('refused');
     clock.advance(7000);
     expect(chosen(2.9)).to.not.equal('refused');
@@ -143,9 +143,9 @@
       const lost = new Set<string>();
       router = newRouter(({ address }) => (lost.has(address) ? 'lost' : 'good'));
       ['1', '2'].forEach(name => lost.add(`127.0.0.1:${name}`));
-      expect(router.levelFor('s', 's.run')).to.equal(Number.MAX_VALUE);
+      expect(router.admissionLevelFor('s', 's.run')).to.equal(Number.MAX_VALUE);
       lost.add('127.0.0.1:3');
-      expect(router.levelFor('s', 's.run')).to.equal(0);
+      expect(router.admissionLevelFor('s', 's.run')).to.equal(0);
     });
 
     /**
@@ -157,26 +157,26 @@
       const load = { inFlight: 2, queued: 0, limit: 10, admissionLevel: 0.2 };
       for (let second = 0; second < 5; second++) {
         clock.advance(1000);
-        router.heard('127.0.0.1:1', 's.run', load);
+        router.recordLoad('127.0.0.1:1', 's.run', load);
       }
-      expect(router.levelFor('s', 's.run')).to.be.below(1);
+      expect(router.admissionLevelFor('s', 's.run')).to.be.below(1);
     });
 
     it('recovers gradually when there are no newer reports', () => {
-      router.heard('127.0.0.1:1', 's.run', { inFlight: 2, queued: 0, limit: 10, admissionLevel: 0.2 });
+      router.recordLoad('127.0.0.1:1', 's.run', { inFlight: 2, queued: 0, limit: 10, admissionLevel: 0.2 });
       clock.advance(1000);
-      expect(router.levelFor('s', 's.run')).to.be.below(1);
+      expect(router.admissionLevelFor('s', 's.run')).to.be.below(1);
       clock.advance(6000);
-      expect(router.levelFor('s', 's.run')).to.be.above(3);
+      expect(router.admissionLevelFor('s', 's.run')).to.be.above(3);
     });
 
     it('is 0 when the service has no upstream', () => {
-      expect(router.levelFor('unknown', 'unknown.run')).to.equal(0);
+      expect(router.admissionLevelFor('unknown', 'unknown.run')).to.equal(0);
     });
   });
 
   it('backs off from an unreachable upstream', () => {
-    router.started('127.0.0.1:1')('unreachable');
+    router.trackCall('127.0.0.1:1')('unreachable');
     expect(shares()).to.not.have.any.keys('127.0.0.1:1');
   });
 
--- a/tests/fullLoad.spec.ts
+++ b/tests/saturationDetector.spec.ts
@@ -1,4 +1,4 @@
-import { AdaptiveLimit, FullLoad } from '@cleatquay/admission';
+import { AdaptiveLimit, SaturationDetector } from '@cleatquay/admission';
 import { ManualClock, seededRandom } from '@cleatquay/clock';
 import { expect } from 'chai';
 
@@ -7,11 +7,11 @@
 describe('the slots of an upstream under sustained load', () => {
   const random = seededRandom('full load');
   let clock: ManualClock;
-  let detector: FullLoad;
+  let detector: SaturationDetector;
 
   beforeEach(() => {
     clock = new ManualClock();
-    detector = new FullLoad(clock);
+    detector = new SaturationDetector(clock);
   });
 
   /** Records a run every 2 ms whose durations spread by half of their mean; returns the ratio of the time in which all slots are usable. */
@@ -53,7 +53,7 @@
       let full = 0;
       for (let i = 0; i < 5000; i++) {
         clock.advance(2);
-        limit.ran('r', limit.utilisationAt(limit.value), 30 * (0.13 + 1.74 * random()));
+        limit.recordRun('r', limit.utilisationAt(limit.value), 30 * (0.13 + 1.74 * random()));
         if (limit.value === slots) full++;
       }
       expect(full / 5000, `of ${String(slots)}`).to.be.above(0.85);
@@ -65,7 +65,7 @@
       const limit = new AdaptiveLimit(clock, slots, false);
       for (let i = 0; i < 400; i++) {
         clock.advance(10);
-        limit.ran('r', 1, 30);
+        limit.recordRun('r', 1, 30);
         expect(limit.value).to.equal(slots);
       }
     }
@@ -75,8 +75,8 @@
     const limit = new AdaptiveLimit(clock, SLOTS, false);
     expect(limit.value).to.equal(20);
     clock.advance(1000);
-    for (let i = 0; i < 200; i++) limit.ran('r', limit.utilisationAt(16), 30);
-    for (let i = 0; i < 200; i++) limit.ran('r', limit.utilisationAt(20), 39);
+    for (let i = 0; i < 200; i++) limit.recordRun('r', limit.utilisationAt(16), 30);
+    for (let i = 0; i < 200; i++) limit.recordRun('r', limit.utilisationAt(20), 39);
     expect(limit.value).to.equal(18);
   });
 });
