--- a/packages/admission/src/admission.ts
+++ b/packages/admission/src/admission.ts
@@ -1,7 +1,7 @@
 /** Admission control for one upstream: concurrency and rate limits, a short priority queue, and the resulting admission level. */
 import { type CancelSignal, type Clock, type Random, type Timer } from '@cleatquay/clock';
 import { invariant } from '@cleatquay/errors';
-import { type Load, type Refusal, refusalOf } from '@cleatquay/protocol';
+import { type Load, type Refusal, createRefusal } from '@cleatquay/protocol';
 import { AdaptiveLimit } from './adaptiveLimit.js';
 import { AdmissionLevel } from './admissionLevel.js';
 import { RateLimit } from './rateLimit.js';
@@ -73,7 +73,7 @@
 
   /** Resolves to a permit, at once or after a short wait, or to a refusal. `remainingMs` is the time until the deadline. */
   async request(level: number, remainingMs: number, signal: CancelSignal): Promise<Permit | Refusal> {
-    if (signal.aborted) return refusalOf('deadlineTooShort', 'The caller has disconnected.');
+    if (signal.aborted) return createRefusal('deadlineTooShort', 'The caller has disconnected.');
     if (this.queue.length === 0 && this.hasCapacity) return this.grant();
     return new Promise(resolve => this.enqueue({ level, remainingMs }, signal, resolve));
   }
@@ -99,7 +99,7 @@
   [Symbol.dispose](): void {
     this.timer?.[Symbol.dispose]();
     for (const request of this.queue.splice(0))
-      request.settle(refusalOf('draining', 'The upstream is shutting down.', ELSEWHERE_HELPS));
+      request.settle(createRefusal('draining', 'The upstream is shutting down.', ELSEWHERE_HELPS));
   }
 
   private get hasCapacity(): boolean {
@@ -211,7 +211,7 @@
     this.overloadedSince ??= this.options.clock.now();
     this.counts.refused++;
     request.settle(
-      refusalOf('overloaded', 'The upstream has no capacity for a request of this priority.', {
+      createRefusal('overloaded', 'The upstream has no capacity for a request of this priority.', {
         retryAfterMs: this.retryAfterMs(),
         elsewhereHelps: true,
       }),
@@ -223,7 +223,9 @@
     if (index < 0) return;
     this.queue.splice(index, 1);
     this.counts.expired++;
-    request.settle(refusalOf('deadlineTooShort', 'The caller disconnected while the request was queued.'));
+    request.settle(
+      createRefusal('deadlineTooShort', 'The caller disconnected while the request was queued.'),
+    );
   }
 
   private dequeue(): void {
@@ -238,7 +240,7 @@
 
   private expire(request: QueuedRequest): void {
     this.counts.expired++;
-    request.settle(refusalOf('deadlineTooShort', 'The request would have finished after its deadline.'));
+    request.settle(createRefusal('deadlineTooShort', 'The request would have finished after its deadline.'));
   }
 
   private scheduleTick(): void {
--- a/packages/calls/src/attemptRegistry.ts
+++ b/packages/calls/src/attemptRegistry.ts
@@ -3,7 +3,7 @@
  * the connection, and seal an attempt: bar it from dispatch for good.
  */
 import { Cancellation, type Clock, NO_LONGER_NEEDED } from '@cleatquay/clock';
-import { type Refusal, type SealAnswer, type SealRequest, refusalOf } from '@cleatquay/protocol';
+import { type Refusal, type SealAnswer, type SealRequest, createRefusal } from '@cleatquay/protocol';
 import { type RecordedResponse } from './responses.js';
 
 const MAX_RECORDS = 50_000;
@@ -38,15 +38,15 @@
   /** Registers an attempt before its admission, or returns the reason why it must not run. */
   register(requestId: string, attempt: number): Refusal | undefined {
     const known = this.records.get(requestId);
-    if (known?.state === 'sealed') return refusalOf('sealed', 'The sender sealed this attempt.');
+    if (known?.state === 'sealed') return createRefusal('sealed', 'The sender sealed this attempt.');
     if (known && known.state !== 'refused') {
-      return refusalOf(
+      return createRefusal(
         'contactLost',
         'The request was received twice; another attempt of it is running or has run.',
       );
     }
     if (this.records.size >= MAX_RECORDS || this.responseBytes >= MAX_RESPONSE_BYTES) {
-      return refusalOf('memoryFull', 'Too many request results are stored.', { elsewhereHelps: true });
+      return createRefusal('memoryFull', 'Too many request results are stored.', { elsewhereHelps: true });
     }
     this.add(requestId, attempt, 'admitting');
     return undefined;
--- a/packages/calls/src/authenticator.ts
+++ b/packages/calls/src/authenticator.ts
@@ -1,7 +1,7 @@
 /** Authenticates requests: finds the organisation of a request by its key, or why it is refused. */
 import { type Random } from '@cleatquay/clock';
 import { type Credentials, type Keyring, type Organisation } from '@cleatquay/organisations';
-import { type Refusal, refusalOf } from '@cleatquay/protocol';
+import { type Refusal, createRefusal } from '@cleatquay/protocol';
 
 /** Freshness proofs arrive several times a second while the platform, or a peer that can reach it, is reachable; network partitions last seconds. */
 const REVOCATIONS_UNPROVEN_RETRY_AFTER_MS = 1000;
@@ -46,16 +46,16 @@
     if (typeof credentials === 'string') {
       if (isPublic || (credentials === 'none' && isCall)) return ANONYMOUS;
       const found = credentials === 'none' ? 'none' : 'something else';
-      return refusalOf('keyMissing', `Expected one key, found ${found}.`);
+      return createRefusal('keyMissing', `Expected one key, found ${found}.`);
     }
     if (!this.options.areRevocationsCurrent()) return this.revocationsUnproven();
     const organisation = keyring.organisationOf(credentials.keyDigest);
-    return organisation ? { organisation } : refusalOf('keyUnknown', 'No organisation holds the key.');
+    return organisation ? { organisation } : createRefusal('keyUnknown', 'No organisation holds the key.');
   }
 
   private revocationsUnproven(): Refusal {
     const message = 'This daemon has received no current list of revoked keys for too long.';
     const retryAfterMs = Math.round(REVOCATIONS_UNPROVEN_RETRY_AFTER_MS * (0.5 + this.options.random()));
-    return refusalOf('keysUnproven', message, { retryAfterMs });
+    return createRefusal('keysUnproven', message, { retryAfterMs });
   }
 }
--- a/packages/calls/src/forwarder.ts
+++ b/packages/calls/src/forwarder.ts
@@ -13,8 +13,8 @@
   type Refusal,
   type RequestHead,
   type SealAnswer,
-  endOf,
-  refusalOf,
+  refusalPart,
+  createRefusal,
 } from '@cleatquay/protocol';
 import { resultByCode } from '@cleatquay/errors';
 import { type Quarantine } from '@cleatquay/quarantine';
@@ -106,7 +106,7 @@
     let reroutesLeft = freeMoves;
     let isRepeat = context.isRepeat;
     const refuse = (refusal: Refusal) =>
-      singlePartResponse(endOf(withOutcomeOfAll(refusal, mayHaveRun), tokens, lastAttempt?.load));
+      singlePartResponse(refusalPart(withOutcomeOfAll(refusal, mayHaveRun), tokens, lastAttempt?.load));
     for (let attemptNumber = context.try; ; attemptNumber++) {
       const held = this.refusalIfQuarantined(context.requestId, fingerprinted);
       if (held) return refuse(lastAttempt?.refusal ?? held);
@@ -252,11 +252,11 @@
   ): Promise<CallResponse | FailedAttempt> {
     const retryElsewhere = { elsewhereHelps: true };
     if (error.neverSent) {
-      const refusal = refusalOf('unreachable', error.message, retryElsewhere);
+      const refusal = createRefusal('unreachable', error.message, retryElsewhere);
       return { refusal, unusedRetryTokens: attempt.context.retryTokens, load: undefined };
     }
     if (attempt.route.idempotent) {
-      const refusal = refusalOf('contactLost', error.message, retryElsewhere);
+      const refusal = createRefusal('contactLost', error.message, retryElsewhere);
       return { refusal, unusedRetryTokens: 0, load: undefined };
     }
     using timeLimit = this.limitTime(attempt);
@@ -267,12 +267,15 @@
     }
     const refusal =
       seal?.state === 'SEALED'
-        ? refusalOf(
+        ? createRefusal(
             'sealed',
             'The connection was lost, and the attempt was sealed before it ran.',
             retryElsewhere,
           )
-        : refusalOf('contactLost', `${error.message} The outcome of the request could not be determined.`);
+        : createRefusal(
+            'contactLost',
+            `${error.message} The outcome of the request could not be determined.`,
+          );
     return { refusal, unusedRetryTokens: 0, load: undefined };
   }
 
@@ -315,11 +318,15 @@
 
   private noUpstreamRefusal(kind: 'chosen' | 'refused' | 'none', remainingMs: number): Refusal {
     if (remainingMs <= 0)
-      return refusalOf('deadlineTooShort', 'The deadline passed before the call could be sent.');
-    if (kind === 'none') return refusalOf('noUpstream', 'No upstream of the service is known.');
-    return refusalOf('refusedEarly', 'Downstream services have no capacity for a request of this priority.', {
-      retryAfterMs: Math.round(REFUSED_EARLY_RETRY_AFTER_MS * (0.5 + this.options.random())),
-    });
+      return createRefusal('deadlineTooShort', 'The deadline passed before the call could be sent.');
+    if (kind === 'none') return createRefusal('noUpstream', 'No upstream of the service is known.');
+    return createRefusal(
+      'refusedEarly',
+      'Downstream services have no capacity for a request of this priority.',
+      {
+        retryAfterMs: Math.round(REFUSED_EARLY_RETRY_AFTER_MS * (0.5 + this.options.random())),
+      },
+    );
   }
 }
 
@@ -351,7 +358,7 @@
 
 function checksumMismatch(): FailedAttempt {
   const text = 'The response does not match its checksum.';
-  const refusal = refusalOf('answerIncomplete', text, { elsewhereHelps: true });
+  const refusal = createRefusal('answerIncomplete', text, { elsewhereHelps: true });
   return { refusal, unusedRetryTokens: 0, load: undefined };
 }
 
--- a/packages/calls/src/ingress.ts
+++ b/packages/calls/src/ingress.ts
@@ -11,8 +11,8 @@
   type CallContext,
   type Refusal,
   type RequestHead,
-  endOf,
-  refusalOf,
+  refusalPart,
+  createRefusal,
 } from '@cleatquay/protocol';
 import { type Credentials, type Organisation } from '@cleatquay/organisations';
 import { type UpstreamDirectory } from '@cleatquay/routing';
@@ -106,15 +106,15 @@
     const parent = request.parent === undefined ? undefined : this.options.running.get(request.parent);
     const refusal = this.refusalFor(request, route, parent);
     if (refusal || !route) {
-      yield endOf(
-        this.withoutFalseNotRun(request, refusal ?? refusalOf('routeUnknown', 'Unknown route.')),
+      yield refusalPart(
+        this.withoutFalseNotRun(request, refusal ?? createRefusal('routeUnknown', 'Unknown route.')),
         0,
       );
       return;
     }
     const sender = this.authenticate(request, route, parent);
     if ('code' in sender) {
-      yield endOf(this.withoutFalseNotRun(request, sender), 0);
+      yield refusalPart(this.withoutFalseNotRun(request, sender), 0);
       return;
     }
     const body = new ReplayableBody(source);
@@ -127,7 +127,7 @@
     const parts = this.resendParts(head, source, signal);
     const first = await parts.next();
     if (first.done === true)
-      return singlePartResponse(endOf(refusalOf('contactLost', 'No response was received.'), 0));
+      return singlePartResponse(refusalPart(createRefusal('contactLost', 'No response was received.'), 0));
     return { first: first.value, rest: isFinalPart(first.value) ? undefined : parts };
   }
 
@@ -139,8 +139,8 @@
     const route = this.options.graph()?.find(head.service, head.method, head.path);
     const id = head.context?.requestId ?? '';
     if (!route || parseRequestId(id)?.home !== this.options.self) {
-      yield endOf(
-        refusalOf('requestIdInvalid', 'The id was issued by another daemon.', { outcome: 'unknown' }),
+      yield refusalPart(
+        createRefusal('requestIdInvalid', 'The id was issued by another daemon.', { outcome: 'unknown' }),
         0,
       );
       return;
@@ -182,17 +182,18 @@
     route: Route | undefined,
     parent: RunningCall | undefined,
   ): Refusal | undefined {
-    if (!this.options.graph()) return refusalOf('noConfiguration', 'This daemon has no configuration yet.');
+    if (!this.options.graph())
+      return createRefusal('noConfiguration', 'This daemon has no configuration yet.');
     if (!route)
-      return refusalOf(
+      return createRefusal(
         'routeUnknown',
         `${request.method} /${request.service}${request.path} is not declared.`,
       );
     if (request.parent === undefined) return undefined;
     if (!parent || parent.signal.aborted)
-      return refusalOf('parentEnded', 'The request that made this call has ended.');
+      return createRefusal('parentEnded', 'The request that made this call has ended.');
     if (!parent.route.calls.includes(route.name) || parent.context.depth >= MAX_DEPTH) {
-      return refusalOf(
+      return createRefusal(
         'callUndeclared',
         `${parent.route.name} does not declare that it calls ${route.name}.`,
       );
@@ -274,16 +275,19 @@
     }
     await body.prefetch();
     if (!home.hasCapacity && request.requestId === undefined) {
-      yield endOf(
-        this.withoutFalseNotRun(request, refusalOf('memoryFull', 'Too many request results are stored.')),
+      yield refusalPart(
+        this.withoutFalseNotRun(request, createRefusal('memoryFull', 'Too many request results are stored.')),
         0,
       );
       return;
     }
     const id = request.requestId ?? (await this.requestIdFor(request, ids.issue(lifetimeMs)));
     if (id === undefined) {
-      yield endOf(
-        refusalOf('claimsUnavailable', "The key could not be bound to a request id in the platform's table."),
+      yield refusalPart(
+        createRefusal(
+          'claimsUnavailable',
+          "The key could not be bound to a request id in the platform's table.",
+        ),
         0,
       );
       return;
@@ -300,7 +304,7 @@
 
   private async *handleWithId(call: AuthorizedRequest): AsyncGenerator<AnswerPart> {
     const id = parseRequestId(call.context.requestId);
-    if (!id) yield endOf(refusalOf('requestIdInvalid', 'Expected an id that a daemon issued.'), 0);
+    if (!id) yield refusalPart(createRefusal('requestIdInvalid', 'Expected an id that a daemon issued.'), 0);
     else if (id.home === this.options.self) yield* this.runAsHome(call);
     else yield* this.forwardToHome(call, id.home);
   }
@@ -313,13 +317,13 @@
     if (id?.epoch !== epoch()) {
       yield* this.searchResponse(
         call,
-        refusalOf('homeRestarted', 'The daemon that issued the id was restarted.'),
+        createRefusal('homeRestarted', 'The daemon that issued the id was restarted.'),
       );
       return;
     }
     const lifetimeMs = id.expiresAt - clock.now();
     if (lifetimeMs <= 0 && !home.hasRecord(requestId)) {
-      yield endOf(refusalOf('requestIdExpired', 'The id has expired.'), 0);
+      yield refusalPart(createRefusal('requestIdExpired', 'The id has expired.'), 0);
       return;
     }
     await call.body.prefetch();
@@ -343,7 +347,7 @@
       this.options.journal.record(context.requestId, `The home daemon ${home} is unreachable.`);
       yield* this.searchResponse(
         call,
-        refusalOf('homeUnreachable', 'The daemon that issued the id is unreachable.'),
+        createRefusal('homeUnreachable', 'The daemon that issued the id is unreachable.'),
       );
     }
   }
@@ -371,7 +375,7 @@
       if (!responses.some(response => response?.state === 'RUNNING')) break;
       await clock.sleep(SEARCH_RETRY_DELAY_MS, call.signal);
     } while (clock.now() < end && !call.signal.aborted);
-    yield endOf(fallback, 0);
+    yield refusalPart(fallback, 0);
   }
 
   private rootContext(
--- a/packages/calls/src/linkServer.ts
+++ b/packages/calls/src/linkServer.ts
@@ -7,9 +7,9 @@
   type LinkItem,
   type RequestHead,
   type RequestPart,
-  endOf,
-  isUsableHead,
-  refusalOf,
+  refusalPart,
+  isValidHead,
+  createRefusal,
 } from '@cleatquay/protocol';
 import { type Socket } from 'node:net';
 import { type CallHandler, isFinalPart } from './callHandler.js';
@@ -110,8 +110,10 @@
     const send = (part: AnswerPart) => {
       if (!cancellation.signal.aborted) this.writer.send({ call: number, answer: part });
     };
-    if (!isUsableHead(head))
-      return send(endOf(refusalOf('innerMessageInvalid', 'The request head is missing or invalid.'), 0));
+    if (!isValidHead(head))
+      return send(
+        refusalPart(createRefusal('innerMessageInvalid', 'The request head is missing or invalid.'), 0),
+      );
     try {
       const queued = this.options.scheduler.acquire();
       const waitedMs = queued ? await queued : 0;
@@ -120,7 +122,10 @@
       const adjustedHead = deductTime(head, waitedMs);
       if (isDeadlinePassed(adjustedHead))
         return send(
-          endOf(refusalOf('deadlineTooShort', 'The deadline passed in transit or in the queue.'), 0),
+          refusalPart(
+            createRefusal('deadlineTooShort', 'The deadline passed in transit or in the queue.'),
+            0,
+          ),
         );
       const response = await this.options.handle(adjustedHead, body, cancellation.signal);
       send(response.first);
@@ -132,7 +137,7 @@
         send(part);
       }
     } catch (error) {
-      send(endOf(refusalOf('internal', String(error), { elsewhereHelps: true }), 0));
+      send(refusalPart(createRefusal('internal', String(error), { elsewhereHelps: true }), 0));
     }
   }
 
--- a/packages/calls/src/quotaGate.ts
+++ b/packages/calls/src/quotaGate.ts
@@ -9,7 +9,7 @@
   type RequestDisposition,
   type QuotaDecision,
 } from '@cleatquay/organisations';
-import { type CallContext, type Refusal, endOf, refusalOf } from '@cleatquay/protocol';
+import { type CallContext, type Refusal, refusalPart, createRefusal } from '@cleatquay/protocol';
 import { type CallResponse, singlePartResponse } from './callHandler.js';
 import { type DecisionTrace } from './decisionTrace.js';
 import { MIN_SERVER_ERROR_STATUS, recordOutcome } from './recordOutcome.js';
@@ -77,7 +77,7 @@
     const { journal } = this.options;
     const facts = { ...this.factsOf(organisation), ...quota, ...taken };
     journal.record(requestId, 'Refused: the quota of its organisation has no capacity.', facts);
-    const response = singlePartResponse(endOf(refusalFor(organisation, taken), retryTokens));
+    const response = singlePartResponse(refusalPart(refusalFor(organisation, taken), retryTokens));
     recordOutcome(journal, requestId, response, 0);
     return response;
   }
@@ -85,10 +85,10 @@
 
 function refusalFor(organisation: string, taken: Exclude<QuotaDecision, { kind: 'taken' }>): Refusal {
   if (taken.kind === 'unknown')
-    return refusalOf('quotaUnreachable', 'No quota coordinator responded in time.', {
+    return createRefusal('quotaUnreachable', 'No quota coordinator responded in time.', {
       retryAfterMs: QUOTA_UNREACHABLE_RETRY_AFTER_MS,
     });
-  return refusalOf('quotaExceeded', `${organisation} has used up its quota.`, {
+  return createRefusal('quotaExceeded', `${organisation} has used up its quota.`, {
     retryAfterMs: Math.max(1, Math.round(taken.retryAfterMs)),
   });
 }
--- a/packages/calls/src/relay.ts
+++ b/packages/calls/src/relay.ts
@@ -11,7 +11,13 @@
   type Clock,
   type Random,
 } from '@cleatquay/clock';
-import { type CallContext, type Refusal, type RequestHead, endOf, refusalOf } from '@cleatquay/protocol';
+import {
+  type CallContext,
+  type Refusal,
+  type RequestHead,
+  refusalPart,
+  createRefusal,
+} from '@cleatquay/protocol';
 import { type Credentials, type Organisation } from '@cleatquay/organisations';
 import { type HostRoute, type HostRoutes } from '@cleatquay/routes';
 import { type CallResponse, type CallBody, type CallRoute, singlePartResponse } from './callHandler.js';
@@ -104,7 +110,7 @@
   private refuseUnauthenticated({ requestId, host, path }: RelayedRequest, refusal: Refusal): CallResponse {
     const { journal } = this.options;
     journal.record(requestId, 'Taken.', { host, path });
-    const response = singlePartResponse(endOf(refusal, 0));
+    const response = singlePartResponse(refusalPart(refusal, 0));
     recordOutcome(journal, requestId, response, 0);
     return response;
   }
@@ -112,10 +118,10 @@
   private refuseForPressure({ requestId, class: rank }: CallContext): CallResponse {
     const { journal, random } = this.options;
     journal.record(requestId, 'Refused at once: the daemon lacks processor time.', { class: rank });
-    const refusal = refusalOf('overloaded', 'The daemon lacks processor time.', {
+    const refusal = createRefusal('overloaded', 'The daemon lacks processor time.', {
       retryAfterMs: Math.round(PRESSURE_RETRY_AFTER_MS * (0.5 + random())),
     });
-    return singlePartResponse(endOf(refusal, 0));
+    return singlePartResponse(refusalPart(refusal, 0));
   }
 
   /**
@@ -130,7 +136,7 @@
       { remainingMs, timeLeftMs },
     );
     return singlePartResponse(
-      endOf(refusalOf('draining', 'The daemon is shutting down.', RETRY_AT_ANOTHER_DAEMON), 0),
+      refusalPart(createRefusal('draining', 'The daemon is shutting down.', RETRY_AT_ANOTHER_DAEMON), 0),
     );
   }
 
@@ -143,15 +149,15 @@
     const { journal, configuration } = this.options;
     const { generation, digest } = configuration;
     journal.record(requestId, 'Taken.', { host, path, generation, digest });
-    const response = singlePartResponse(endOf(this.unroutable(routes, route), 0));
+    const response = singlePartResponse(refusalPart(this.unroutable(routes, route), 0));
     recordOutcome(journal, requestId, response, 0);
     return response;
   }
 
   private unroutable(routes: HostRoutes | undefined, route: HostRoute | undefined): Refusal {
-    if (!routes) return refusalOf('noConfiguration', 'This daemon has no configuration yet.', RETRY_SOON);
-    if (!route) return refusalOf('routeUnknown', 'No route has this host and path.');
-    return refusalOf('noUpstream', 'The route has no service.', RETRY_SOON);
+    if (!routes) return createRefusal('noConfiguration', 'This daemon has no configuration yet.', RETRY_SOON);
+    if (!route) return createRefusal('routeUnknown', 'No route has this host and path.');
+    return createRefusal('noUpstream', 'The route has no service.', RETRY_SOON);
   }
 
   /**
@@ -196,7 +202,7 @@
       const timer = clock.after(context.remainingMs, () => {
         settle(
           singlePartResponse(
-            endOf(refusalOf('requestTimedOut', 'No response was received within the timeout.'), 0),
+            refusalPart(createRefusal('requestTimedOut', 'No response was received within the timeout.'), 0),
           ),
         );
         cancel();
@@ -213,7 +219,9 @@
         .forward(callRoute, head, context, body, cancellation.signal)
         .then(settle, (error: unknown) => {
           settle(
-            singlePartResponse(endOf(refusalOf('contactLost', `The request failed: ${String(error)}.`), 0)),
+            singlePartResponse(
+              refusalPart(createRefusal('contactLost', `The request failed: ${String(error)}.`), 0),
+            ),
           );
         });
     });
--- a/packages/calls/src/requestDeduplicator.ts
+++ b/packages/calls/src/requestDeduplicator.ts
@@ -4,7 +4,7 @@
  */
 import { type CancelSignal, Cancellation, type Clock, NO_LONGER_NEEDED } from '@cleatquay/clock';
 import { type Outcome, invariant } from '@cleatquay/errors';
-import { type AnswerPart, type Refusal, endOf, refusalOf } from '@cleatquay/protocol';
+import { type AnswerPart, type Refusal, refusalPart, createRefusal } from '@cleatquay/protocol';
 import { type CallResponse, responseParts } from './callHandler.js';
 import { ResponseRecorder, type RecordedResponse, replay } from './responses.js';
 
@@ -61,9 +61,9 @@
   ): AsyncGenerator<AnswerPart> {
     const record = this.records.get(id) ?? this.startRequest(id, lifetimeMs, start);
     const result = record.result ?? (await this.wait(record, waitMs, signal));
-    if (!result) yield endOf(refusalOf('deadlinePassed', 'The request is still running.'), 0);
+    if (!result) yield refusalPart(createRefusal('deadlinePassed', 'The request is still running.'), 0);
     else if (result.kind === 'answered') yield replay(result.response);
-    else yield endOf(result.refusal, 0);
+    else yield refusalPart(result.refusal, 0);
   }
 
   private async wait(
@@ -119,9 +119,9 @@
 
 function unknownOutcome(message: string): RequestResult {
   const outcome: Outcome = 'unknown';
-  return { kind: 'refused', refusal: refusalOf('contactLost', message, { outcome }) };
+  return { kind: 'refused', refusal: createRefusal('contactLost', message, { outcome }) };
 }
 
 function memoryFull(): RequestResult {
-  return { kind: 'refused', refusal: refusalOf('memoryFull', 'Too many request results are stored.') };
+  return { kind: 'refused', refusal: createRefusal('memoryFull', 'Too many request results are stored.') };
 }
--- a/packages/calls/src/responses.ts
+++ b/packages/calls/src/responses.ts
@@ -1,5 +1,5 @@
 /** Splits responses into parts, verifies them by length and checksum, and records and replays complete ones. */
-import { type AnswerHead, type AnswerPart, type Load, noLoad } from '@cleatquay/protocol';
+import { type AnswerHead, type AnswerPart, type Load, emptyLoad } from '@cleatquay/protocol';
 import { crc32 } from 'node:zlib';
 import { type CallResponse, singlePartResponse } from './callHandler.js';
 
@@ -92,7 +92,7 @@
 export function replay({ head, body }: RecordedResponse): AnswerPart {
   const checksum = new BodyChecksum();
   checksum.add(body);
-  return createPart({ head, body, end: checksum.end, load: noLoad() });
+  return createPart({ head, body, end: checksum.end, load: emptyLoad() });
 }
 
 /** Collects the parts of a response until it is complete and verified. */
--- a/packages/calls/src/upstreamDispatcher.ts
+++ b/packages/calls/src/upstreamDispatcher.ts
@@ -20,8 +20,8 @@
   type SealAnswer,
   type SealRequest,
   type UpstreamNotice,
-  endOf,
-  refusalOf,
+  refusalPart,
+  createRefusal,
 } from '@cleatquay/protocol';
 import { SuspectSemaphore, type Quarantine, type QuarantineStatus } from '@cleatquay/quarantine';
 import { toCallResponse } from './responses.js';
@@ -97,8 +97,8 @@
     const upstream = this.options.upstream(head.service);
     const earlyRefusal = this.refuseEarly(context, route, upstream);
     if (earlyRefusal || !context || !route || !upstream) {
-      const refusal = earlyRefusal ?? refusalOf('innerMessageInvalid', 'The call has no context.');
-      return withNotice(singlePartResponse(endOf(refusal, context?.retryTokens ?? 0)), upstream);
+      const refusal = earlyRefusal ?? createRefusal('innerMessageInvalid', 'The call has no context.');
+      return withNotice(singlePartResponse(refusalPart(refusal, context?.retryTokens ?? 0)), upstream);
     }
     const { quarantine, clock } = this.options;
     for (const start of head.endedStarts) quarantine.recordRemoteCrash(head, start);
@@ -127,7 +127,7 @@
     if (this.standingOf(call) === 'held') return this.refuseQuarantined(call);
     const lateRefusal = this.refuseEarly(context, route, this.options.upstream(head.service));
     return lateRefusal
-      ? singlePartResponse(endOf(lateRefusal, context.retryTokens))
+      ? singlePartResponse(refusalPart(lateRefusal, context.retryTokens))
       : await this.serve(call, signal);
   }
 
@@ -139,7 +139,7 @@
     );
     journal.requestEnded(requestId, true);
     const retryAfterMs = quarantine.retryAfterMs(receivedFingerprint(head, body) ?? '');
-    return singlePartResponse(endOf(quarantineRefusal(retryAfterMs), retryTokens));
+    return singlePartResponse(refusalPart(quarantineRefusal(retryAfterMs), retryTokens));
   }
 
   private async serve(call: IncomingCall, signal: CancelSignal): Promise<CallResponse> {
@@ -147,7 +147,9 @@
     const { clock } = this.options;
     const permit = await this.admit(context, route, upstream, signal);
     if (!('release' in permit))
-      return singlePartResponse(endOf(permit, context.retryTokens, this.load(upstream, route, context)));
+      return singlePartResponse(
+        refusalPart(permit, context.retryTokens, this.load(upstream, route, context)),
+      );
     const remainingMs = Math.max(1, Math.floor(context.remainingMs - (clock.now() - arrivedAt)));
     const currentContext = { ...context, remainingMs };
     return this.run({ head, context: currentContext, route, upstream, permit, body }, signal);
@@ -168,11 +170,11 @@
   ): Refusal | undefined {
     const elsewhere = { elsewhereHelps: true };
     if (context && context.targetEpoch !== ANY_EPOCH && context.targetEpoch !== this.options.epoch()) {
-      return refusalOf('otherEpoch', 'The daemon was restarted.', elsewhere);
+      return createRefusal('otherEpoch', 'The daemon was restarted.', elsewhere);
     }
-    if (!route) return refusalOf('routeUnknown', 'The route is not in the configuration.', elsewhere);
-    if (!upstream) return refusalOf('noUpstream', 'This daemon no longer has the upstream.', elsewhere);
-    if (upstream.isDraining) return refusalOf('draining', 'The upstream is shutting down.', elsewhere);
+    if (!route) return createRefusal('routeUnknown', 'The route is not in the configuration.', elsewhere);
+    if (!upstream) return createRefusal('noUpstream', 'This daemon no longer has the upstream.', elsewhere);
+    if (upstream.isDraining) return createRefusal('draining', 'The upstream is shutting down.', elsewhere);
     return undefined;
   }
 
@@ -192,7 +194,7 @@
     if ('release' in permit) {
       if (route.idempotent || tries.markDispatched(requestId)) return permit;
       permit.release('failed');
-      return refusalOf('sealed', 'The sender sealed this attempt.');
+      return createRefusal('sealed', 'The sender sealed this attempt.');
     }
     if (!route.idempotent) tries.markRefused(requestId);
     const { inFlight, queued, limit, admissionLevel } = upstream.admission.load();
@@ -247,7 +249,7 @@
       const refusal = await this.refusalFor(error, cancellation.signal, admitted);
       finish();
       if (!route.idempotent) this.options.attempts.markEnded(context.requestId, undefined);
-      return singlePartResponse(endOf(refusal, call.retryTokens, this.load(upstream, route, context)));
+      return singlePartResponse(refusalPart(refusal, call.retryTokens, this.load(upstream, route, context)));
     }
   }
 
@@ -288,15 +290,17 @@
     if (meaning !== 'answer') {
       permit.release('shed');
       if (!route.idempotent) tries.markNotDispatched(context.requestId);
-      const shed = refusalOf('shedByUpstream', 'The upstream did not run the request.', SHED_DETAILS);
-      return singlePartResponse(endOf(shed, call.retryTokens, this.load(upstream, route, context)));
+      const shed = createRefusal('shedByUpstream', 'The upstream did not run the request.', SHED_DETAILS);
+      return singlePartResponse(refusalPart(shed, call.retryTokens, this.load(upstream, route, context)));
     }
     if (upstreamResponse.isCloseDelimited && route.idempotent && upstream.connections.delimitsResponses) {
       permit.release('failed');
       const text =
         'The response is close-delimited, though the upstream otherwise sends lengths, so that it may be truncated.';
-      const truncated = refusalOf('answerIncomplete', text, { elsewhereHelps: true });
-      return singlePartResponse(endOf(truncated, call.retryTokens, this.load(upstream, route, context)));
+      const truncated = createRefusal('answerIncomplete', text, { elsewhereHelps: true });
+      return singlePartResponse(
+        refusalPart(truncated, call.retryTokens, this.load(upstream, route, context)),
+      );
     }
     const responseHead = {
       unframed: upstreamResponse.isCloseDelimited,
@@ -328,7 +332,7 @@
       }
     } catch (error) {
       const refusal = await this.refusalFor(error, call.signal, admitted);
-      yield endOf(refusal, call.retryTokens, this.load(upstream, route, context));
+      yield refusalPart(refusal, call.retryTokens, this.load(upstream, route, context));
     } finally {
       finish();
       // A seal request then reports that the attempt ended and its response is lost, since it was too long to be stored.
@@ -343,7 +347,7 @@
     if (CONNECT_ERRORS.includes(code ?? '')) {
       if (!route.idempotent) this.options.attempts.markNotDispatched(context.requestId);
       upstream.onConnectionRefused();
-      return refusalOf('unreachable', 'The upstream refused the connection.', { elsewhereHelps: true });
+      return createRefusal('unreachable', 'The upstream refused the connection.', { elsewhereHelps: true });
     }
     const isGivenUp = signal.aborted;
     if (!isGivenUp) upstream.connections.suspendReuse();
@@ -356,16 +360,17 @@
     const end = isGivenUp || isMisplaced ? undefined : await this.options.ends.checkForCrash(upstream);
     if (end) this.recordCrash(context.requestId, end, admitted);
     journal.requestEnded(context.requestId, true);
-    if (isGivenUp) return refusalOf(result, `The request was cancelled. ${(signal.reason as Error).message}`);
-    if (isMisplaced) return refusalOf(result, error.message, { elsewhereHelps: true });
+    if (isGivenUp)
+      return createRefusal(result, `The request was cancelled. ${(signal.reason as Error).message}`);
+    if (isMisplaced) return createRefusal(result, error.message, { elsewhereHelps: true });
     if (!end)
-      return refusalOf(result, 'The upstream failed before its response was complete.', {
+      return createRefusal(result, 'The upstream failed before its response was complete.', {
         elsewhereHelps: true,
       });
     upstream.onConnectionRefused();
     // The sender may not have received yet that the request is quarantined.
     const elsewhereHelps = this.standingOf(admitted) !== 'held';
-    return refusalOf('upstreamEnded', 'The upstream crashed.', { elsewhereHelps, endedStart: end.start });
+    return createRefusal('upstreamEnded', 'The upstream crashed.', { elsewhereHelps, endedStart: end.start });
   }
 
   private recordCrash(
--- a/packages/daemon/src/callerGateway.ts
+++ b/packages/daemon/src/callerGateway.ts
@@ -8,7 +8,7 @@
   headerNames,
 } from '@cleatquay/calls';
 import { asFailure } from '@cleatquay/errors';
-import { refusalOf } from '@cleatquay/protocol';
+import { createRefusal } from '@cleatquay/protocol';
 import { type ServiceSchema } from 'moleculer';
 import ApiGateway from 'moleculer-web';
 import { type IncomingMessage, type ServerResponse } from 'node:http';
@@ -57,7 +57,7 @@
       recordEnd(parsed.service, refusal);
     } catch (error) {
       const failure = asFailure(error);
-      const refusal = refusalOf(failure.result, failure.describe());
+      const refusal = createRefusal(failure.result, failure.describe());
       recordEnd('', refusal);
       if (response.headersSent) response.destroy();
       else writeRefusal(response, refusal);
@@ -82,7 +82,7 @@
         },
       ],
       onError(_request: IncomingMessage, response: ServerResponse) {
-        writeRefusal(response, refusalOf('routeUnknown', 'Expected a path of the form /service/path.'));
+        writeRefusal(response, createRefusal('routeUnknown', 'Expected a path of the form /service/path.'));
       },
     },
   };
@@ -93,7 +93,7 @@
   const isFirst = requestId === undefined && idempotencyKey === undefined;
   writeRefusal(
     response,
-    refusalOf('draining', 'This daemon is shutting down.', isFirst ? {} : { outcome: 'unknown' }),
+    createRefusal('draining', 'This daemon is shutting down.', isFirst ? {} : { outcome: 'unknown' }),
   );
 }
 
@@ -115,13 +115,13 @@
   if (!Number.isInteger(count) || count < 1 || count > MAX_ISSUED_IDS) {
     writeRefusal(
       response,
-      refusalOf('headerInvalid', `count: expected an integer from 1 to ${String(MAX_ISSUED_IDS)}.`),
+      createRefusal('headerInvalid', `count: expected an integer from 1 to ${String(MAX_ISSUED_IDS)}.`),
     );
     return;
   }
   const ids = Array.from({ length: count }, () => ingress.issueId());
   if (ids.includes(undefined))
-    return writeRefusal(response, refusalOf('memoryFull', 'No request ids can be issued at the moment.'));
+    return writeRefusal(response, createRefusal('memoryFull', 'No request ids can be issued at the moment.'));
   response.writeHead(200, { 'content-type': 'application/json', [headerNames.outcome]: 'answered' });
   response.end(JSON.stringify({ ids }));
 }
--- a/packages/daemon/src/callerResponse.ts
+++ b/packages/daemon/src/callerResponse.ts
@@ -11,7 +11,7 @@
 } from '@cleatquay/calls';
 import { parseCredentials } from '@cleatquay/organisations';
 import { Failure, resultByCode, resultCodes } from '@cleatquay/errors';
-import { type AnswerHead, type AnswerPart, type Refusal, refusalOf } from '@cleatquay/protocol';
+import { type AnswerHead, type AnswerPart, type Refusal, createRefusal } from '@cleatquay/protocol';
 import { once } from 'node:events';
 import { type IncomingMessage, type ServerResponse } from 'node:http';
 import { type Duplex } from 'node:stream';
@@ -25,7 +25,7 @@
 const MAX_TIMEOUT_MS = 600_000;
 
 /** Result under which a request is counted whose caller disconnected before the response was complete. */
-export const DISCONNECT_REFUSAL = refusalOf('contactLost', 'The caller disconnected.');
+export const DISCONNECT_REFUSAL = createRefusal('contactLost', 'The caller disconnected.');
 
 /** Parses service, path and cleatquay headers of an HTTP request. */
 export function parseCallerRequest(request: IncomingMessage, needsKeys: boolean): CallerRequest {
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -25,7 +25,7 @@
   type DiscoveryTable,
   type Membership,
 } from '@cleatquay/membership';
-import { type Refusal, endOf, refusalOf } from '@cleatquay/protocol';
+import { type Refusal, refusalPart, createRefusal } from '@cleatquay/protocol';
 import { type Quarantine, type QuarantineTable } from '@cleatquay/quarantine';
 import { HostRoutes, type RoutePlan } from '@cleatquay/routes';
 import { type ServiceBroker } from 'moleculer';
@@ -298,8 +298,8 @@
       quarantineTable: adapter.quarantine,
       localService: settings.service,
       handleAsHome: () => {
-        const refusal = refusalOf('innerMessageInvalid', 'This daemon does not issue request ids.');
-        return Promise.resolve(singlePartResponse(endOf(refusal, 0)));
+        const refusal = createRefusal('innerMessageInvalid', 'This daemon does not issue request ids.');
+        return Promise.resolve(singlePartResponse(refusalPart(refusal, 0)));
       },
       answerConfiguration: request => this.configuration.createResponse(request),
       freshness: this.organisations.freshness,
--- a/packages/daemon/src/relayGateway.ts
+++ b/packages/daemon/src/relayGateway.ts
@@ -8,7 +8,7 @@
   forwardedRawHeaders,
 } from '@cleatquay/calls';
 import { Failure, asFailure } from '@cleatquay/errors';
-import { type Refusal, refusalOf } from '@cleatquay/protocol';
+import { type Refusal, createRefusal } from '@cleatquay/protocol';
 import { type Credentials, parseCredentials } from '@cleatquay/organisations';
 import { type RouteLimits } from '@cleatquay/routes';
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
@@ -112,7 +112,7 @@
       refusal = await writeResponse(response, callResponse, dialect.responseWriter);
     } catch (error) {
       const failure = asFailure(error);
-      refusal = refusalOf(failure.result, failure.describe());
+      refusal = createRefusal(failure.result, failure.describe());
       if (response.headersSent) response.destroy();
       else dialect.responseWriter.refusal(response, refusal);
     }
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -11,7 +11,7 @@
   type Sync,
   type Upstream,
   isAddress,
-  isUsableMember,
+  isValidMember,
 } from '@cleatquay/protocol';
 import { BroadcastQueue } from './broadcastQueue.js';
 import { LocalHealth } from './localHealth.js';
@@ -329,7 +329,7 @@
     if (this.options.isPartitioned?.(gossip.from)) return;
     this.receivedAt = this.options.clock.now();
     for (const member of gossip.members) {
-      if (isUsableMember(member)) this.accept(member, gossip.bulk);
+      if (isValidMember(member)) this.accept(member, gossip.bulk);
       else this.traffic.invalid++;
     }
     this.handleFindings(gossip);
--- a/packages/protocol/src/parts.ts
+++ b/packages/protocol/src/messageFactories.ts
@@ -6,12 +6,12 @@
 export const ANY_EPOCH = 0;
 
 /** Load of a daemon that reports none; it refuses no admission level. */
-export function noLoad(): Load {
+export function emptyLoad(): Load {
   return { inFlight: 0, queued: 0, limit: 0, admissionLevel: Number.MAX_VALUE };
 }
 
 /** A refusal with the code of its result, and with the result's outcome unless another is given. */
-export function refusalOf(
+export function createRefusal(
   result: ResultName,
   message: string,
   more: { retryAfterMs?: number; elsewhereHelps?: boolean; outcome?: Outcome; endedStart?: string } = {},
@@ -27,7 +27,11 @@
 }
 
 /** The final response part, with a refusal. */
-export function endOf(refusal: Refusal, unusedRetryTokens: number, load: Load = noLoad()): AnswerPart {
+export function refusalPart(
+  refusal: Refusal,
+  unusedRetryTokens: number,
+  load: Load = emptyLoad(),
+): AnswerPart {
   return {
     head: undefined,
     body: Buffer.alloc(0),
--- a/packages/protocol/src/checks.ts
+++ b/packages/protocol/src/validation.ts
@@ -7,7 +7,7 @@
 const METHODS = new Set(['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS']);
 
 /** Whether the head of a request has all that is needed to forward it. */
-export function isUsableHead(head: RequestHead | undefined): head is RequestHead {
+export function isValidHead(head: RequestHead | undefined): head is RequestHead {
   if (!head?.context) return false;
   if (head.context.requestId === '' || head.service === '') return false;
   return METHODS.has(head.method) && head.path.startsWith('/') && head.path.length <= MAX_PATH_LENGTH;
@@ -20,7 +20,7 @@
 }
 
 /** Whether a member from a datagram may enter the member table. */
-export function isUsableMember(member: Member): boolean {
+export function isValidMember(member: Member): boolean {
   const addresses = [member.address, member.gossipAddress, member.operatorAddress];
   return addresses.every(isAddress) && member.epoch > 0 && member.failureDomain !== '';
 }
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -2,7 +2,7 @@
 export { StoreStandin, type StoreFaults } from './storeStandin.js';
 export { UpstreamStandin, type UpstreamBehaviour, type UpstreamIdentity } from './upstreamStandin.js';
 export { type Effect, Ledger, readLedger } from './ledger.js';
-export { PlatformStoreStandin, type PlatformStoreFaults } from './platform/storeOfPlatform.js';
+export { PlatformStoreStandin, type PlatformStoreFaults } from './platform/platformStoreStandin.js';
 export {
   type ReceivedRequest,
   type PlatformUpstreamBehaviour,
@@ -10,5 +10,5 @@
   type UpstreamCall,
   type SimulatedCrash,
   type UpstreamFault,
-} from './platform/upstreamOfPlatform.js';
+} from './platform/platformUpstreamStandin.js';
 export { LoopbackProxy, type ProxyMode } from './loopbackProxy.js';
--- a/packages/standins/src/loopbackProxy.ts
+++ b/packages/standins/src/loopbackProxy.ts
@@ -28,7 +28,7 @@
   }
 
   /** Open connections stop carrying data in both directions but stay open; new ones work. */
-  silence(): void {
+  stall(): void {
     for (const socket of this.open) {
       socket.unpipe();
       socket.pause();
--- a/packages/standins/src/platform/storeOfPlatform.ts
+++ b/packages/standins/src/platform/platformStoreStandin.ts
@@ -75,7 +75,7 @@
   }
 
   /** Removes a row, as if it had expired. */
-  drop(table: string, key: string): void {
+  remove(table: string, key: string): void {
     this.apply({ remove: [{ table, part: '', key }] });
   }
 
--- a/packages/standins/src/platform/upstreamOfPlatform.ts
+++ b/packages/standins/src/platform/platformUpstreamStandin.ts
@@ -9,7 +9,7 @@
 } from 'node:http';
 import { type AddressInfo } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { Semaphore } from '../slots.js';
+import { Semaphore } from '../semaphore.js';
 
 /** Fault to inject for a request. */
 export type UpstreamFault =
@@ -93,8 +93,8 @@
 
 export class PlatformUpstreamStandin implements AsyncDisposable {
   readonly behaviour: PlatformUpstreamBehaviour;
-  readonly arrivals: ReceivedRequest[] = [];
-  readonly ends: SimulatedCrash[] = [];
+  readonly receivedRequests: ReceivedRequest[] = [];
+  readonly crashes: SimulatedCrash[] = [];
   private server: Server;
   private readonly slots = new Semaphore(() => this.behaviour.slots);
   private readonly stopped = new AbortController();
@@ -172,7 +172,7 @@
   /** Simulates a crash: closes all connections and the listener, and restarts later as another instance. */
   async end(requestId = ''): Promise<void> {
     if (!this.server.listening) return;
-    this.ends.push({ at: performance.now(), requestId });
+    this.crashes.push({ at: performance.now(), requestId });
     this.isAnnouncing = false;
     const { server } = this;
     this.server = this.createHttpServer();
@@ -195,7 +195,7 @@
 
   /** Number of times that the request ran. */
   countRuns(requestId: string): number {
-    return this.arrivals.filter(received => received.requestId === requestId && received.ran).length;
+    return this.receivedRequests.filter(received => received.requestId === requestId && received.ran).length;
   }
 
   private createHttpServer(): Server {
@@ -229,7 +229,7 @@
       ran: false,
       ended: false,
     };
-    this.arrivals.push(received);
+    this.receivedRequests.push(received);
     const fault = this.behaviour.fault(requestId, received.path);
     if (fault === 'reset-before-request') return void request.socket.resetAndDestroy();
     if (fault === 'shed') return this.write(response, 503, requestId, 'full', { 'Not-Executed': '1' });
--- a/packages/standins/src/upstreamStandin.ts
+++ b/packages/standins/src/upstreamStandin.ts
@@ -9,7 +9,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Pool } from 'undici';
 import { Ledger } from './ledger.js';
-import { Semaphore } from './slots.js';
+import { Semaphore } from './semaphore.js';
 
 const ANNOUNCE_INTERVAL_MS = 1000;
 const CHILD_CONNECTIONS = 512;
--- a/tests/configurationChanges.spec.ts
+++ b/tests/configurationChanges.spec.ts
@@ -70,13 +70,13 @@
     await untilActive(3, others);
     suspended!.signal('SIGCONT');
     await untilActive(3, [suspended!]);
-    expect(await suspended!.ask('alarms.example', 'dropped')).to.equal(404);
+    expect(await suspended!.sendGet('alarms.example', 'dropped')).to.equal(404);
   });
 
   it('is active in time although all connections to the store became unresponsive after the previous one', async () => {
     write(2);
     await untilActive(2);
-    for (const { proxy } of fleet.nodes) proxy.silence();
+    for (const { proxy } of fleet.nodes) proxy.stall();
     const start = performance.now();
     write(3, ONE);
     await untilActive(3);
@@ -86,12 +86,12 @@
   it('is waited for on new connections by every reader under load after the old ones became unresponsive', async () => {
     let isLoaded = true;
     const load = async (node: ProcessNode) => {
-      for (let i = 0; isLoaded; i++) await node.ask('history.example', `load-${String(i)}`);
+      for (let i = 0; isLoaded; i++) await node.sendGet('history.example', `load-${String(i)}`);
     };
     const loads = fleet.nodes.map(load);
     await new Promise(resolve => setTimeout(resolve, WARMUP_MS));
     const start = Date.now();
-    for (const { proxy } of fleet.nodes) proxy.silence();
+    for (const { proxy } of fleet.nodes) proxy.stall();
     await new Promise(resolve => setTimeout(resolve, MAX_FEED_WAIT_MS));
     isLoaded = false;
     await Promise.all(loads);
--- a/tests/configurationSoak.spec.ts
+++ b/tests/configurationSoak.spec.ts
@@ -7,7 +7,7 @@
 import { decodeConfiguration } from '@cleatquay/platform';
 import { expect } from 'chai';
 import { FAULTS } from './fixtures/processFaults.js';
-import { type WrittenRoute, configurationText, routeTo } from './fixtures/platformFleet.js';
+import { type RouteDefinition, configurationText, routeTo } from './fixtures/platformFleet.js';
 import { ProcessFleet, type ProcessStatus, type ProcessVm } from './fixtures/platformProcesses.js';
 
 const ROUNDS = Number(process.env.CLEATQUAY_ROUNDS ?? 15);
@@ -50,7 +50,7 @@
   const delay = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
   const write = () => {
-    const routes = HOSTS.flatMap((host): WrittenRoute[] =>
+    const routes = HOSTS.flatMap((host): RouteDefinition[] =>
       random() < 0.3 ? [] : [routeTo(one(['history', 'alarms']), { name: host, host })],
     );
     const text = configurationText(++version, [routeTo('history'), routeTo('alarms'), ...routes]);
--- a/tests/crashDetector.spec.ts
+++ b/tests/crashDetector.spec.ts
@@ -6,7 +6,7 @@
 import { SystemClock } from '@cleatquay/clock';
 import { expect } from 'chai';
 import { type AddressInfo, type Server, createServer } from 'node:net';
-import { HeldPorts } from './fixtures/heldPorts.js';
+import { ReservedPorts } from './fixtures/reservedPorts.js';
 
 const START = 'u@1';
 /** Longer than the timeout of the check. */
@@ -23,8 +23,8 @@
   });
 
   const freeAddress = async () => {
-    const ports = new HeldPorts();
-    const port = await ports.one();
+    const ports = new ReservedPorts();
+    const port = await ports.reserve();
     await ports.release();
     return `127.0.0.1:${String(port)}`;
   };
--- a/tests/decideRetry.spec.ts
+++ b/tests/decideRetry.spec.ts
@@ -1,6 +1,6 @@
 import { type RetryContext, decideRetry } from '@cleatquay/calls';
 import { type ResultName, resultCodes } from '@cleatquay/errors';
-import { refusalOf } from '@cleatquay/protocol';
+import { createRefusal } from '@cleatquay/protocol';
 import { expect } from 'chai';
 import fc from 'fast-check';
 
@@ -11,7 +11,7 @@
         result: fc.constantFrom(...(Object.keys(resultCodes) as ResultName[])),
         elsewhereHelps: fc.boolean(),
       })
-      .map(({ result, elsewhereHelps }) => refusalOf(result, '', { elsewhereHelps })),
+      .map(({ result, elsewhereHelps }) => createRefusal(result, '', { elsewhereHelps })),
     idempotent: fc.boolean(),
     tokens: fc.nat(3),
     reroutes: fc.nat(3),
--- a/tests/disconnectedCallers.spec.ts
+++ b/tests/disconnectedCallers.spec.ts
@@ -20,7 +20,7 @@
 import { SystemClock } from '@cleatquay/clock';
 import { RelayGateway } from '@cleatquay/daemon';
 import { callerDialect } from '@cleatquay/platform';
-import { endOf, refusalOf } from '@cleatquay/protocol';
+import { refusalPart, createRefusal } from '@cleatquay/protocol';
 import { expect } from 'chai';
 import { once } from 'node:events';
 import { type AddressInfo } from 'node:net';
@@ -62,7 +62,7 @@
       blockEventLoop(3 * DISCONNECT_AFTER_MS);
       await disconnected;
       await sleep(MAX_FORWARD_DELAY_MS);
-      expect(node!.upstream.arrivals.map(({ requestId }) => requestId)).to.deep.equal([]);
+      expect(node!.upstream.receivedRequests.map(({ requestId }) => requestId)).to.deep.equal([]);
     });
   });
 
@@ -80,7 +80,7 @@
           handle: () => {
             forwardedAt.push(Date.now());
             blockEventLoop(CALL_COST_MS);
-            return Promise.resolve(singlePartResponse(endOf(refusalOf('overloaded', ''), 0)));
+            return Promise.resolve(singlePartResponse(refusalPart(createRefusal('overloaded', ''), 0)));
           },
         },
         dialect: callerDialect,
--- a/tests/invalidInput.spec.ts
+++ b/tests/invalidInput.spec.ts
@@ -47,7 +47,7 @@
   };
   const registered = () =>
     fleet.nodes[0]!.daemon.upstreams.identifiedUpstreams.map(({ instanceId }) => instanceId);
-  const expectServed = async () => expect((await fleet.ask(1)).status).to.equal(200);
+  const expectServed = async () => expect((await fleet.send(1)).status).to.equal(200);
 
   describe('in an announcement', () => {
     it('registers no upstream', async () => {
--- a/tests/leavingAnswers.spec.ts
+++ b/tests/leavingAnswers.spec.ts
@@ -27,7 +27,7 @@
   beforeEach(async () => {
     fleet = await ProcessFleet.start(VMS, [routeTo('history')]);
     for (const { upstream } of fleet.nodes) upstream.behaviour.workMs = WORK_MS;
-    await fleet.calm();
+    await fleet.waitForLowLag();
   });
 
   afterEach(() => fleet[Symbol.asyncDispose]());
@@ -41,7 +41,7 @@
     return performance.now();
   };
   const requestsAt = (index: number, from: number) =>
-    node(index).upstream.arrivals.filter(({ at }) => at >= from);
+    node(index).upstream.receivedRequests.filter(({ at }) => at >= from);
 
   /**
    * Requests that reached an upstream that is shutting down, though their ingress daemon had sent them too long after it
@@ -77,7 +77,7 @@
       [routeTo('history')],
     );
     for (const { upstream } of fleet.nodes) upstream.behaviour.workMs = LONG_WORK_MS;
-    await fleet.calm();
+    await fleet.waitForLowLag();
     await using load = startLoad();
     await sleep(SETTLE_MS);
     for (const index of LEAVING_INDEXES) node(index).proxy.reset();
--- a/tests/linkServer.spec.ts
+++ b/tests/linkServer.spec.ts
@@ -7,7 +7,7 @@
   singlePartResponse,
 } from '@cleatquay/calls';
 import { ManualClock, SystemClock } from '@cleatquay/clock';
-import { LinkFrame, type LinkItem, endOf, refusalOf } from '@cleatquay/protocol';
+import { LinkFrame, type LinkItem, refusalPart, createRefusal } from '@cleatquay/protocol';
 import { expect } from 'chai';
 import { EventEmitter } from 'node:events';
 import { CALL_CONTEXT } from './fixtures/callContext.js';
@@ -60,7 +60,7 @@
     const socket = fakeSocket();
     const handle = () => {
       handled++;
-      return Promise.resolve(singlePartResponse(endOf(refusalOf('overloaded', ''), 0)));
+      return Promise.resolve(singlePartResponse(refusalPart(createRefusal('overloaded', ''), 0)));
     };
     expect(
       new LinkServer(socket as never, {
@@ -87,7 +87,7 @@
     const remaining: (number | undefined)[] = [];
     const handle: CallHandler = ({ context }) => {
       remaining.push(context?.remainingMs);
-      return Promise.resolve(singlePartResponse(endOf(refusalOf('overloaded', ''), 0)));
+      return Promise.resolve(singlePartResponse(refusalPart(createRefusal('overloaded', ''), 0)));
     };
     const server = new LinkServer(socket as never, {
       clock: manual,
@@ -115,7 +115,7 @@
         clock: manual,
         handle: ({ context }) => {
           started.push(context?.remainingMs);
-          return Promise.resolve(singlePartResponse(endOf(refusalOf('overloaded', ''), 0)));
+          return Promise.resolve(singlePartResponse(refusalPart(createRefusal('overloaded', ''), 0)));
         },
         scheduler: new RequestScheduler(manual, () => false),
         configuration: NO_CONFIGURATION,
--- a/tests/organisationOperators.spec.ts
+++ b/tests/organisationOperators.spec.ts
@@ -13,8 +13,8 @@
     const dairy = { name: 'dairy', apiKeys: ['dairy-key'], ratePerS: 2, burst: 1 };
     const vms = [{ service: 'history' }, { service: 'history' }];
     fleet = await PlatformFleet.start(vms, [routeTo('history')], [dairy, { name: 'other', apiKeys: ['x'] }]);
-    await until(async () => (await fleet.ask(0, { id: 'served', headers: BEARER })).status === 200);
-    await until(async () => (await fleet.ask(1, { id: 'over', headers: BEARER })).status === 429);
+    await until(async () => (await fleet.send(0, { id: 'served', headers: BEARER })).status === 200);
+    await until(async () => (await fleet.send(1, { id: 'over', headers: BEARER })).status === 429);
   });
 
   after(() => fleet[Symbol.asyncDispose]());
--- a/tests/organisationSoak.spec.ts
+++ b/tests/organisationSoak.spec.ts
@@ -7,7 +7,7 @@
 import { type Random, seededRandom } from '@cleatquay/clock';
 import { expect } from 'chai';
 import { FAULTS } from './fixtures/processFaults.js';
-import { type WrittenOrganisation, configurationText, routeTo } from './fixtures/platformFleet.js';
+import { type OrganisationDefinition, configurationText, routeTo } from './fixtures/platformFleet.js';
 import { ProcessFleet, type ProcessVm } from './fixtures/platformProcesses.js';
 import { mostWithin } from './fixtures/windows.js';
 
@@ -35,7 +35,7 @@
 const ROUTES = [routeTo('history')];
 const DOMAINS = ['z1', 'z1', 'z2', 'z2'];
 const VMS: ProcessVm[] = DOMAINS.map(failureDomain => ({ service: 'history', failureDomain }));
-const HOT: WrittenOrganisation = { name: 'hot', apiKeys: ['hot-key'], ...QUOTA };
+const HOT: OrganisationDefinition = { name: 'hot', apiKeys: ['hot-key'], ...QUOTA };
 
 interface Sent {
   readonly key: string;
@@ -105,7 +105,7 @@
   };
 
   const executed = () =>
-    fleet.nodes.flatMap(({ upstream }) => upstream.arrivals).filter(arrival => arrival.ran);
+    fleet.nodes.flatMap(({ upstream }) => upstream.receivedRequests).filter(arrival => arrival.ran);
 
   it('never run a request with a key revoked longer ago than the bound, or more requests than a quota allows', async function () {
     this.timeout(ROUNDS * ROUND_LIMIT_MS);
--- a/tests/organisations.spec.ts
+++ b/tests/organisations.spec.ts
@@ -6,14 +6,14 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import {
   PlatformFleet,
-  type WrittenOrganisation,
+  type OrganisationDefinition,
   configurationText,
   routeTo,
   until,
 } from './fixtures/platformFleet.js';
 
-const DAIRY: WrittenOrganisation = { name: 'dairy', apiKeys: ['dairy-key-1', 'dairy-key-2'] };
-const PHARMACY: WrittenOrganisation = { name: 'pharmacy', apiKeys: ['pharmacy-key'] };
+const DAIRY: OrganisationDefinition = { name: 'dairy', apiKeys: ['dairy-key-1', 'dairy-key-2'] };
+const PHARMACY: OrganisationDefinition = { name: 'pharmacy', apiKeys: ['pharmacy-key'] };
 const TWO_MICROSECONDS_MS = 0.002;
 const KEYS = [...DAIRY.apiKeys, ...PHARMACY.apiKeys];
 
@@ -39,8 +39,8 @@
       for (const node of fleet.nodes.keys()) {
         const id = `named-${String(node)}`;
         const headers = { ...bearer('pharmacy-key'), 'Tenant-Id': 'dairy', 'X-Kept': 'as it is' };
-        expect((await fleet.ask(node, { id, headers })).status).to.equal(200);
-        const [arrival] = fleet.arrivals(id);
+        expect((await fleet.send(node, { id, headers })).status).to.equal(200);
+        const [arrival] = fleet.receivedRequests(id);
         expect(arrival?.headers['tenant-id']).to.equal('pharmacy');
         expect(arrival?.headers.authorization).to.equal(undefined);
         expect(arrival?.headers['x-kept']).to.equal('as it is');
@@ -50,41 +50,41 @@
     it('accepts each key of an organisation', async () => {
       for (const key of DAIRY.apiKeys) {
         const id = `by-${key}`;
-        await fleet.ask(0, { id, headers: bearer(key) });
-        expect(fleet.arrivals(id)[0]?.headers['tenant-id']).to.equal('dairy');
+        await fleet.send(0, { id, headers: bearer(key) });
+        expect(fleet.receivedRequests(id)[0]?.headers['tenant-id']).to.equal('dairy');
       }
     });
 
     it('is the same for an attempt on another upstream', async () => {
       for (const { upstream } of fleet.nodes.slice(0, 2))
         upstream.behaviour.fault = id =>
-          id === 'again' && fleet.arrivals(id).length === 1 ? 'shed' : 'none';
-      const response = await fleet.ask(2, { id: 'again', headers: bearer('pharmacy-key') });
+          id === 'again' && fleet.receivedRequests(id).length === 1 ? 'shed' : 'none';
+      const response = await fleet.send(2, { id: 'again', headers: bearer('pharmacy-key') });
       expect(response.status).to.equal(200);
-      const names = fleet.arrivals('again').map(({ headers }) => headers['tenant-id']);
+      const names = fleet.receivedRequests('again').map(({ headers }) => headers['tenant-id']);
       expect(names).to.deep.equal(['pharmacy', 'pharmacy']);
     });
 
     it('is optional on a public route; a key that is sent there must be valid, and is not forwarded', async () => {
       const ask = (id: string, headers: Record<string, string>) =>
-        fleet.ask(0, { host: 'open.example', id, headers });
+        fleet.send(0, { host: 'open.example', id, headers });
       expect((await ask('open-1', { 'Tenant-Id': 'dairy' })).status).to.equal(200);
-      expect(fleet.arrivals('open-1')[0]?.headers['tenant-id']).to.equal(undefined);
+      expect(fleet.receivedRequests('open-1')[0]?.headers['tenant-id']).to.equal(undefined);
       expect((await ask('open-2', bearer('dairy-key-1'))).status).to.equal(200);
-      expect(fleet.arrivals('open-2')[0]?.headers.authorization).to.equal(undefined);
-      expect(fleet.arrivals('open-2')[0]?.headers['tenant-id']).to.equal('dairy');
+      expect(fleet.receivedRequests('open-2')[0]?.headers.authorization).to.equal(undefined);
+      expect(fleet.receivedRequests('open-2')[0]?.headers['tenant-id']).to.equal('dairy');
       expect((await ask('open-3', bearer('nobody'))).status).to.equal(401);
-      expect(fleet.arrivals('open-3')).to.have.lengthOf(0);
+      expect(fleet.receivedRequests('open-3')).to.have.lengthOf(0);
     });
 
     it('does not apply to the calls of an upstream, which have no key', async () => {
       for (const { upstream } of fleet.nodes.slice(0, 2))
         upstream.behaviour.calls = [{ host: 'alarms.example', path: '/c' }];
-      const before = fleet.nodes[2]!.upstream.arrivals.length;
-      const response = await fleet.ask(0, { id: 'deep', headers: bearer('dairy-key-1') });
+      const before = fleet.nodes[2]!.upstream.receivedRequests.length;
+      const response = await fleet.send(0, { id: 'deep', headers: bearer('dairy-key-1') });
       for (const { upstream } of fleet.nodes.slice(0, 2)) upstream.behaviour.calls = [];
       expect(response.status).to.equal(200);
-      const calls = fleet.nodes[2]!.upstream.arrivals.slice(before);
+      const calls = fleet.nodes[2]!.upstream.receivedRequests.slice(before);
       expect(calls.map(({ headers }) => headers['tenant-id'])).to.deep.equal([undefined]);
     });
 
@@ -99,16 +99,16 @@
     };
     for (const [defect, { headers, code }] of Object.entries(refused)) {
       it(`refuses ${defect} with a result code before the request reaches an upstream`, async () => {
-        const response = await fleet.ask(0, { id: defect, headers: headers as Record<string, string> });
+        const response = await fleet.send(0, { id: defect, headers: headers as Record<string, string> });
         expect(response.status).to.equal(401);
         expect(response.text).to.contain(`"code":${String(code)}`);
-        expect(fleet.arrivals(defect)).to.have.lengthOf(0);
+        expect(fleet.receivedRequests(defect)).to.have.lengthOf(0);
       });
     }
 
     it('leaves no key in log lines, dumps and metrics', async () => {
-      for (const key of KEYS) await fleet.ask(0, { headers: bearer(key) });
-      await fleet.ask(0, { headers: bearer('nobody-knows-this') });
+      for (const key of KEYS) await fleet.send(0, { headers: bearer(key) });
+      await fleet.send(0, { headers: bearer('nobody-knows-this') });
       const { daemon } = fleet.nodes[0]!;
       const dump = await (await fetch(`http://${daemon.membership.me.operatorAddress}/dump`)).text();
       const metrics = await (await fetch(`http://${daemon.membership.me.operatorAddress}/metrics`)).text();
@@ -120,7 +120,7 @@
   describe('a daemon without a configuration', () => {
     it('refuses requests with a retry time, not as unauthenticated', async () => {
       await using fleet = await PlatformFleet.start([{ service: 'history' }], undefined);
-      const response = await fleet.ask(0, { headers: bearer('dairy-key-1') });
+      const response = await fleet.send(0, { headers: bearer('dairy-key-1') });
       expect(response.status).to.equal(503);
       expect(Number(response.headers['retry-after'])).to.be.greaterThan(0);
     });
@@ -135,11 +135,11 @@
 
     afterEach(() => fleet[Symbol.asyncDispose]());
 
-    const apply = async (version: number, organisations: readonly WrittenOrganisation[] | undefined) => {
+    const apply = async (version: number, organisations: readonly OrganisationDefinition[] | undefined) => {
       fleet.store.put('op', 'config', configurationText(version, [routeTo('history')], organisations));
       await until(() => fleet.nodes.every(({ daemon }) => daemon.configuration.generation === version));
     };
-    const statusWith = async (key: string) => (await fleet.ask(0, { headers: bearer(key) })).status;
+    const statusWith = async (key: string) => (await fleet.send(0, { headers: bearer(key) })).status;
 
     it('adds and revokes keys', async () => {
       await apply(2, [{ name: 'dairy', apiKeys: ['dairy-key-2', 'dairy-key-3'] }]);
@@ -155,9 +155,9 @@
 
     it('without a list requires no keys, and still strips those that callers send', async () => {
       await apply(2, undefined);
-      const response = await fleet.ask(0, { id: 'after', headers: bearer('dairy-key-1') });
+      const response = await fleet.send(0, { id: 'after', headers: bearer('dairy-key-1') });
       expect(response.status).to.equal(200);
-      expect(fleet.arrivals('after')[0]?.headers.authorization).to.equal(undefined);
+      expect(fleet.receivedRequests('after')[0]?.headers.authorization).to.equal(undefined);
     });
   });
 
@@ -166,7 +166,7 @@
       const vms = ['z1', 'z1', 'z2'].map(failureDomain => ({ service: 'history', failureDomain }));
       const bounded = { ...DAIRY, ratePerS: 10, burst: 6 };
       await using fleet = await PlatformFleet.start(vms, [routeTo('history')], [bounded, PHARMACY]);
-      const ask = (i: number, key: string) => fleet.ask(i % 3, { headers: bearer(key) });
+      const ask = (i: number, key: string) => fleet.send(i % 3, { headers: bearer(key) });
       await until(async () => (await ask(0, 'dairy-key-1')).status === 200);
       const startedAt = performance.now();
       const responses = await Promise.all(Array.from({ length: 120 }, (_, i) => ask(i, 'dairy-key-1')));
@@ -191,13 +191,13 @@
         [bounded],
       );
       const { upstream } = fleet.nodes[0]!;
-      await until(async () => (await fleet.ask(0, { headers: bearer('dairy-key-1') })).status === 200);
-      await until(async () => (await fleet.ask(0, { headers: bearer('dairy-key-1') })).status === 429);
+      await until(async () => (await fleet.send(0, { headers: bearer('dairy-key-1') })).status === 200);
+      await until(async () => (await fleet.send(0, { headers: bearer('dairy-key-1') })).status === 429);
       await sleep(600);
       upstream.behaviour.fault = () => 'shed';
       const statuses: number[] = [];
       for (let i = 0; i < 8; i++)
-        statuses.push((await fleet.ask(0, { headers: bearer('dairy-key-1') })).status);
+        statuses.push((await fleet.send(0, { headers: bearer('dairy-key-1') })).status);
       expect(statuses.filter(status => status === 503).length).to.be.greaterThan(3);
     });
   });
@@ -205,15 +205,15 @@
   describe('a deployment without organisations', () => {
     it('forwards the authorization header unchanged', async () => {
       await using fleet = await PlatformFleet.start([{ service: 'history' }], [routeTo('history')]);
-      await fleet.ask(0, { id: 'plain', headers: bearer('of the upstream') });
-      expect(fleet.arrivals('plain')[0]?.headers.authorization).to.equal('Bearer of the upstream');
+      await fleet.send(0, { id: 'plain', headers: bearer('of the upstream') });
+      expect(fleet.receivedRequests('plain')[0]?.headers.authorization).to.equal('Bearer of the upstream');
     });
   });
 
   describe('an invalid configuration', () => {
     const decoding = (organisations: readonly object[]) => () =>
       decodeConfiguration(
-        configurationText(3, [routeTo('history')], organisations as unknown as WrittenOrganisation[]),
+        configurationText(3, [routeTo('history')], organisations as unknown as OrganisationDefinition[]),
       );
     const refused: Record<string, readonly object[]> = {
       'two organisations that share a key': [DAIRY, { name: 'other', apiKeys: ['dairy-key-2'] }],
--- a/tests/peerNotices.spec.ts
+++ b/tests/peerNotices.spec.ts
@@ -1,5 +1,5 @@
 import { PeerNotices, replay } from '@cleatquay/calls';
-import { type UpstreamNotice, endOf, refusalOf } from '@cleatquay/protocol';
+import { type UpstreamNotice, refusalPart, createRefusal } from '@cleatquay/protocol';
 import { type Candidate } from '@cleatquay/routing';
 import { expect } from 'chai';
 
@@ -7,7 +7,7 @@
 const OLD: Candidate = { address: '10.0.0.1:1', epoch: 1, failureDomain: 'z', slots: 1 };
 const NEW: Candidate = { ...OLD, epoch: 2 };
 const ANSWER = replay({ head: { status: 200, headers: '', unframed: false }, body: Buffer.alloc(0) });
-const REFUSAL = endOf(refusalOf('otherEpoch', 'The daemon was restarted.'), 0);
+const REFUSAL = refusalPart(createRefusal('otherEpoch', 'The daemon was restarted.'), 0);
 
 describe("the last notice of another daemon's local upstream", () => {
   let notices: PeerNotices;
--- a/tests/platformExplain.spec.ts
+++ b/tests/platformExplain.spec.ts
@@ -35,7 +35,7 @@
 
   it('names the upstream that refused it under load', async () => {
     fleet.nodes[1]!.upstream.behaviour.fault = () => 'shed';
-    expect((await fleet.ask(0, { id: 'refused' })).status).to.equal(503);
+    expect((await fleet.send(0, { id: 'refused' })).status).to.equal(503);
     const text = explain('refused');
     expect(text).to.match(/Taken\. {2}route=to-history service=history generation=1/);
     expect(text).to.match(/Sent to an upstream\. .*to=127\.0\.0\.1:\d+ .*loadAgeMs=/);
@@ -45,7 +45,7 @@
 
   it('names the connection failure and the upstream if the outcome is unknown', async () => {
     fleet.nodes[0]!.upstream.behaviour.fault = () => 'drop-response';
-    expect((await fleet.ask(1, { id: 'lost', host: 'confirm.example', method: 'POST' })).status).to.equal(
+    expect((await fleet.send(1, { id: 'lost', host: 'confirm.example', method: 'POST' })).status).to.equal(
       502,
     );
     const text = explain('lost');
@@ -58,9 +58,9 @@
     const { upstream } = fleet.nodes[1]!;
     upstream.behaviour.awayMs = 100;
     upstream.behaviour.fault = (_id, path) => (path === '/deadly' ? 'end' : 'none');
-    await fleet.ask(0, { id: 'deadly-1', path: '/deadly' });
-    while ((await fleet.ask(0)).status !== 200) await new Promise(resolve => setTimeout(resolve, 20));
-    await fleet.ask(1, { id: 'deadly-2', path: '/deadly' });
+    await fleet.send(0, { id: 'deadly-1', path: '/deadly' });
+    while ((await fleet.send(0)).status !== 200) await new Promise(resolve => setTimeout(resolve, 20));
+    await fleet.send(1, { id: 'deadly-2', path: '/deadly' });
     const ended =
       /The upstream crashed while it ran the request\. {2}start=(\S+) running=1 fingerprint=([\da-f]{16})/;
     const [, firstStart, first] = ended.exec(explain('deadly-1'))!;
@@ -78,14 +78,14 @@
 
   it('does not report a crash if only the response was lost', async () => {
     fleet.nodes[0]!.upstream.behaviour.fault = () => 'drop-response';
-    await fleet.ask(1, { id: 'lost', host: 'confirm.example', method: 'POST' });
+    await fleet.send(1, { id: 'lost', host: 'confirm.example', method: 'POST' });
     expect(explain('lost')).to.not.match(/ended|crashed/);
   });
 
   it('names the slow call if the response of a chain was late', async () => {
     fleet.nodes[0]!.upstream.behaviour.workMs = 900;
     fleet.nodes[1]!.upstream.behaviour.calls = [{ host: 'confirm.example', path: '/slow' }];
-    expect((await fleet.ask(0, { id: 'late' })).status).to.equal(500);
+    expect((await fleet.send(0, { id: 'late' })).status).to.equal(500);
     const text = explain('late');
     expect(text).to.match(/late {2}Answered\. {2}status=500/);
     expect(text).to.match(/late\.1 {2}Taken\. {2}route=confirm/);
@@ -93,7 +93,7 @@
   });
 
   it('names the active configuration and its source if there is no route', async () => {
-    expect((await fleet.ask(0, { id: 'unrouted', host: 'nowhere.example' })).status).to.equal(404);
+    expect((await fleet.send(0, { id: 'unrouted', host: 'nowhere.example' })).status).to.equal(404);
     const [, digest] = /Taken\. {2}host=nowhere\.example path=\/x generation=1 digest=(\w+)/.exec(
       explain('unrouted'),
     )!;
--- a/tests/platformLifetimes.spec.ts
+++ b/tests/platformLifetimes.spec.ts
@@ -11,7 +11,7 @@
   afterEach(() => fleet[Symbol.asyncDispose]());
 
   const distinctStamps = async (count: number) => {
-    const responses = await Promise.all(Array.from({ length: count }, (_, i) => fleet.ask(i % 2)));
+    const responses = await Promise.all(Array.from({ length: count }, (_, i) => fleet.send(i % 2)));
     expect(responses.every(({ status }) => status === 200)).to.equal(true);
     return new Set(responses.map(({ headers }) => headers['server-stamp']));
   };
@@ -101,7 +101,7 @@
 
   it('and daemons are discovered again after their rows have expired', async () => {
     const { address } = fleet.nodes[0]!.daemon.membership.me;
-    fleet.store.drop('daemons', address);
+    fleet.store.remove('daemons', address);
     const late = await fleet.add({ service: 'history' }, 'i-2');
     await until(() => late.daemon.isReady);
     await fleet.settle();
--- a/tests/platformPath.spec.ts
+++ b/tests/platformPath.spec.ts
@@ -24,7 +24,7 @@
     it('gets the complete, unchanged response of the upstream through every daemon', async () => {
       await start();
       for (const node of fleet.nodes.keys()) {
-        const response = await fleet.ask(node, { id: `whole-${String(node)}` });
+        const response = await fleet.send(node, { id: `whole-${String(node)}` });
         expect(response.status).to.equal(200);
         expect(response.headers['server-stamp']).to.match(/^i-/);
         expect(response.text).to.match(new RegExp(`^whole-${String(node)} x{200}$`));
@@ -34,8 +34,8 @@
     it('reaches the upstream with its remaining time, expected instance and origin service', async () => {
       await start();
       const headers = { 'Caller-Service': 'forged', 'Expect-Instance': 'forged', 'X-Kept': 'as it is' };
-      await fleet.ask(2, { id: 'marked', deadlineMs: 1500, path: '/a/b?c=d', headers });
-      const [received] = fleet.arrivals('marked');
+      await fleet.send(2, { id: 'marked', deadlineMs: 1500, path: '/a/b?c=d', headers });
+      const [received] = fleet.receivedRequests('marked');
       expect(received?.path).to.equal('/a/b?c=d');
       expect(received?.headers['caller-service']).to.equal('alarms');
       expect(received?.headers['expect-instance']).to.match(/^i-[01]$/);
@@ -50,9 +50,9 @@
         if (upstream.service === 'history')
           upstream.behaviour.calls = [{ host: 'alarms.example', path: '/c' }];
       }
-      const response = await fleet.ask(0, { id: 'deep' });
+      const response = await fleet.send(0, { id: 'deep' });
       expect(response.status).to.equal(200);
-      const calls = fleet.nodes[2]!.upstream.arrivals;
+      const calls = fleet.nodes[2]!.upstream.receivedRequests;
       expect(calls.map(call => call.headers['caller-service'])).to.deep.equal(['history']);
     });
 
@@ -60,7 +60,7 @@
       const nested = routeTo('alarms', { name: 'nested', host: 'history.example', pathPrefix: '/x/' });
       await start([routeTo('history'), nested]);
       const stampOf = async (callerRequest: CallerRequest) =>
-        (await fleet.ask(0, callerRequest)).headers['server-stamp'];
+        (await fleet.send(0, callerRequest)).headers['server-stamp'];
       expect(await stampOf({ path: '/x/1' })).to.equal('i-2');
       expect(await stampOf({ path: '/x?y=/x/' })).to.not.equal('i-2');
       expect(await stampOf({ path: '/xx/' })).to.not.equal('i-2');
@@ -74,17 +74,17 @@
       const { service, ...split } = routeTo('history', { trafficSplit });
       expect(service).to.equal('history');
       await start([split]);
-      for (let i = 0; i < 60; i++) await fleet.ask(i % 3);
-      const share = fleet.nodes[2]!.upstream.arrivals.length / 60;
+      for (let i = 0; i < 60; i++) await fleet.send(i % 3);
+      const share = fleet.nodes[2]!.upstream.receivedRequests.length / 60;
       expect(share).to.be.within(0.03, 0.17);
     });
 
     it('gets 404 without a route, and Retry-After before there is a configuration', async () => {
       await start();
-      expect((await fleet.ask(0, { host: 'nobody.example' })).status).to.equal(404);
+      expect((await fleet.send(0, { host: 'nobody.example' })).status).to.equal(404);
       await fleet[Symbol.asyncDispose]();
       fleet = await PlatformFleet.start([{ service: 'history' }], undefined);
-      const response = await fleet.ask(0);
+      const response = await fleet.send(0);
       expect(response.status).to.equal(503);
       expect(Number(response.headers['retry-after'])).to.be.within(0.05, 5);
     });
@@ -92,7 +92,7 @@
     it('gets 504 at the timeout of its route', async () => {
       await start([routeTo('history', { timeoutS: 0.3 })]);
       for (const { upstream } of fleet.nodes) upstream.behaviour.workMs = 5000;
-      const response = await fleet.ask(2, { id: 'slow' });
+      const response = await fleet.send(2, { id: 'slow' });
       expect(response.status).to.equal(504);
       await until(() => fleet.nodes.every(({ daemon }) => daemon.isReady));
     });
@@ -112,17 +112,17 @@
     const head = 'Host: history.example\r\nDeadline-Ms: 2000\r\n';
 
     it('is refused: no id, invalid deadline, not HTTP, two lengths', async () => {
-      expect((await fleet.ask(0, { id: '' })).text).to.contain('"code":1008');
-      expect((await fleet.ask(0, { headers: { 'Deadline-Ms': 'soon' } })).text).to.contain('"code":1008');
+      expect((await fleet.send(0, { id: '' })).text).to.contain('"code":1008');
+      expect((await fleet.send(0, { headers: { 'Deadline-Ms': 'soon' } })).text).to.contain('"code":1008');
       expect(await sendRaw('gibberish\r\n\r\n')).to.match(/^HTTP\/1.1 400/);
       const twice = `POST /x HTTP/1.1\r\n${head}Request-Id: t\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabc`;
       expect(await sendRaw(twice)).to.match(/^HTTP\/1.1 400/);
-      expect(fleet.arrivals('t')).to.have.lengthOf(0);
+      expect(fleet.receivedRequests('t')).to.have.lengthOf(0);
     });
 
     it('is refused if the body is too long', async () => {
       const body = 'x'.repeat(150_000);
-      expect((await fleet.ask(0, { method: 'POST', body })).status).to.equal(413);
+      expect((await fleet.send(0, { method: 'POST', body })).status).to.equal(413);
     });
 
     it('does not include chunked bodies or pipelined requests, which get their responses in order', async () => {
@@ -136,7 +136,7 @@
 
   describe('a configuration', () => {
     const isServedBy = async (service: string) => {
-      const { headers } = await fleet.ask(0);
+      const { headers } = await fleet.send(0);
       const stamp = headers['server-stamp'];
       return fleet.nodes.some(
         ({ upstream }) => upstream.service === service && upstream.instanceId === stamp,
--- a/tests/platformProcess.spec.ts
+++ b/tests/platformProcess.spec.ts
@@ -7,7 +7,7 @@
 import { createServer } from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { HeldPorts } from './fixtures/heldPorts.js';
+import { ReservedPorts } from './fixtures/reservedPorts.js';
 import { configurationText, routeTo } from './fixtures/platformFleet.js';
 
 describe('the bundled daemon as a process', () => {
@@ -25,8 +25,8 @@
 
   beforeEach(async () => {
     store = new PlatformStoreStandin();
-    const ports = new HeldPorts();
-    const address = async () => `127.0.0.1:${String(await ports.one())}`;
+    const ports = new ReservedPorts();
+    const address = async () => `127.0.0.1:${String(await ports.reserve())}`;
     callers = await address();
     readiness = await address();
     const announcements = await address();
@@ -37,7 +37,7 @@
       callers,
       readiness,
       announcements,
-      innerPorts: await ports.two(),
+      innerPorts: await ports.reserveTwo(),
       heartbeatSeconds: 0.2,
       store: await store.listen(),
       bounds: {
@@ -116,7 +116,7 @@
     const ended = once(daemon, 'exit');
     upstream.behaviour.workMs = 700;
     const last = sendRequest('last');
-    while (upstream.arrivals.length < 2) await new Promise(resolve => setTimeout(resolve, 5));
+    while (upstream.receivedRequests.length < 2) await new Promise(resolve => setTimeout(resolve, 5));
     daemon.kill('SIGTERM');
     expect(await last).to.equal(200);
     expect(await isReady()).to.equal(false);
--- a/tests/platformTruth.spec.ts
+++ b/tests/platformResponses.spec.ts
@@ -46,7 +46,7 @@
   let requestCount = 0;
   const confirm = async () => {
     const id = `confirm-${String(++requestCount)}`;
-    const response = await fleet.ask(requestCount % 3, {
+    const response = await fleet.send(requestCount % 3, {
       id,
       host: 'confirm.example',
       method: 'POST',
@@ -56,7 +56,7 @@
   };
   const read = async () => {
     const id = `read-${String(++requestCount)}`;
-    return { id, ...(await fleet.ask(requestCount % 3, { id, host: 'read.example' })) };
+    return { id, ...(await fleet.send(requestCount % 3, { id, host: 'read.example' })) };
   };
 
   describe('of a non-idempotent request', () => {
@@ -71,7 +71,7 @@
         injectOnce(fault);
         const { id, status } = await confirm();
         expect(status).to.equal(502);
-        expect(fleet.arrivals(id)).to.have.lengthOf(1);
+        expect(fleet.receivedRequests(id)).to.have.lengthOf(1);
       });
     }
 
@@ -111,7 +111,7 @@
       const routes = [routeTo('unframed', { timeoutS: 5 })];
       fleet.store.put('op', 'config', configurationText(0x100, routes));
       await until(() => node.daemon.configuration.generation === 0x100);
-      const { status, text } = await fleet.ask(node, { id: 'plain', host: 'unframed.example' });
+      const { status, text } = await fleet.send(node, { id: 'plain', host: 'unframed.example' });
       expect(status).to.equal(200);
       expect(text).to.match(/^plain x{200}$/);
       await node.upstream[Symbol.asyncDispose]();
--- a/tests/quarantineOperators.spec.ts
+++ b/tests/quarantineOperators.spec.ts
@@ -27,16 +27,16 @@
       upstream.behaviour.awayMs = 100;
       upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'end' : 'none');
     }
-    while (crashCount() < QUARANTINE_CRASHES) await fleet.ask(0, { path: QUERY_OF_DEATH });
+    while (crashCount() < QUARANTINE_CRASHES) await fleet.send(0, { path: QUERY_OF_DEATH });
     await Promise.all(fleet.nodes.map((_node, i) => untilQuarantined(i)));
     await untilServed();
   });
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
-  const crashCount = () => fleet.nodes.reduce((sum, { upstream }) => sum + upstream.ends.length, 0);
+  const crashCount = () => fleet.nodes.reduce((sum, { upstream }) => sum + upstream.crashes.length, 0);
   const untilServed = async () => {
-    while ((await fleet.ask(0)).status !== 200) await new Promise(resolve => setTimeout(resolve, 20));
+    while ((await fleet.send(0)).status !== 200) await new Promise(resolve => setTimeout(resolve, 20));
   };
   const untilQuarantined = async (node: number) => {
     const isQuarantined = /^cleatquay_held_requests 1$/m;
@@ -55,7 +55,7 @@
 
   it('is refused as not run, with a retry time', async () => {
     const before = crashCount();
-    const { status, headers, text } = await fleet.ask(2, { path: QUERY_OF_DEATH });
+    const { status, headers, text } = await fleet.send(2, { path: QUERY_OF_DEATH });
     expect(status).to.equal(503);
     expect(headers['retry-after']).to.equal('60.000');
     expect(JSON.parse(text)).to.include({ code: 2013, outcome: 'not-run' });
@@ -69,7 +69,7 @@
   });
 
   it('is explained by its last attempt', async () => {
-    await fleet.ask(0, { path: QUERY_OF_DEATH, id: 'again' });
+    await fleet.send(0, { path: QUERY_OF_DEATH, id: 'again' });
     expect((await cleatquay('explain', 'again')).out).to.contain('Quarantined');
   });
 
@@ -77,7 +77,7 @@
     for (const { upstream } of fleet.nodes) upstream.behaviour.fault = () => 'none';
     const fingerprint = await quarantinedFingerprint();
     expect((await cleatquay('release', fingerprint!)).out).to.contain('Released');
-    while ((await fleet.ask(2, { path: QUERY_OF_DEATH })).status !== 200)
+    while ((await fleet.send(2, { path: QUERY_OF_DEATH })).status !== 200)
       await new Promise(resolve => setTimeout(resolve, 20));
     expect((await cleatquay('quarantine')).out).to.contain('released');
   });
@@ -111,8 +111,8 @@
       asks: `GET ${QUERY_OF_DEATH}`,
     };
     fleet.store.put('daemons', 'quarantine/history', JSON.stringify({ ends: [], verdicts: [verdict] }));
-    expect((await fleet.ask(0, { path: QUERY_OF_DEATH })).status).to.equal(502);
-    expect(fleet.nodes.reduce((sum, { upstream }) => sum + upstream.ends.length, 0)).to.equal(1);
+    expect((await fleet.send(0, { path: QUERY_OF_DEATH })).status).to.equal(502);
+    expect(fleet.nodes.reduce((sum, { upstream }) => sum + upstream.crashes.length, 0)).to.equal(1);
   });
 });
 
@@ -130,7 +130,7 @@
   afterEach(() => fleet[Symbol.asyncDispose]());
 
   it('does not prevent the quarantine of a request that crashes it', async () => {
-    for (let i = 0; i < 3; i++) await fleet.ask(0, { path: QUERY_OF_DEATH });
+    for (let i = 0; i < 3; i++) await fleet.send(0, { path: QUERY_OF_DEATH });
     const { quarantine } = fleet.nodes[0]!.daemon;
     await until(() => quarantine.counts.held === 1);
     for (const { daemon } of fleet.nodes) await until(() => daemon.quarantine.counts.held === 1);
@@ -148,7 +148,7 @@
     for (const { upstream } of fleet.nodes)
       upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'end' : 'none');
   };
-  const crashCount = () => fleet.nodes.reduce((sum, { upstream }) => sum + upstream.ends.length, 0);
+  const crashCount = () => fleet.nodes.reduce((sum, { upstream }) => sum + upstream.crashes.length, 0);
   const untilQuarantined = async () => {
     for (const { daemon } of fleet.nodes) await until(() => daemon.quarantine.counts.held === 1);
   };
@@ -160,9 +160,9 @@
     await start(vms, ['history']);
     const request = { path: QUERY_OF_DEATH, method: 'POST', body: 'x'.repeat(LONG_BODY_BYTES) };
     // An attempt on an upstream that is restarting is refused as not run, since a streamed body can't be sent again.
-    for (let i = 0; crashCount() < QUARANTINE_CRASHES; i++) await fleet.ask(i % 3, request);
+    for (let i = 0; crashCount() < QUARANTINE_CRASHES; i++) await fleet.send(i % 3, request);
     await untilQuarantined();
-    expect((await fleet.ask(1, request)).status).to.equal(503);
+    expect((await fleet.send(1, request)).status).to.equal(503);
     expect(crashCount()).to.equal(QUARANTINE_CRASHES);
   });
 
@@ -176,11 +176,11 @@
     ];
     await start(vms, ['history', 'alarms']);
     for (let i = 0; crashCount() < QUARANTINE_CRASHES; i++)
-      expect((await fleet.ask(3, { path: `/own/${String(i)}` })).status).to.equal(500);
+      expect((await fleet.send(3, { path: `/own/${String(i)}` })).status).to.equal(500);
     await untilQuarantined();
     const before = crashCount();
-    expect((await fleet.ask(3, { path: '/own/again' })).status).to.equal(500);
+    expect((await fleet.send(3, { path: '/own/again' })).status).to.equal(500);
     expect(crashCount()).to.equal(before);
-    expect(fleet.nodes[3]!.upstream.ends).to.deep.equal([]);
+    expect(fleet.nodes[3]!.upstream.crashes).to.deep.equal([]);
   });
 });
--- a/tests/quarantineSoak.spec.ts
+++ b/tests/quarantineSoak.spec.ts
@@ -85,13 +85,13 @@
   const lateAttempts = (path: string) => {
     const deadly = new Set([...ingressNodes.keys()].filter(id => id.startsWith(path)));
     const crashes = fleet.nodes
-      .flatMap(({ upstream }) => upstream.ends)
+      .flatMap(({ upstream }) => upstream.crashes)
       .filter(({ requestId }) => deadly.has(requestId))
       .map(({ at }) => at)
       .sort((a, b) => a - b);
     const propagatedAt = (crashes[QUARANTINE_CRASHES - 1] ?? Number.POSITIVE_INFINITY) + PROPAGATION_MS;
     return fleet.nodes.flatMap(({ upstream }, node) =>
-      upstream.arrivals.filter(
+      upstream.receivedRequests.filter(
         ({ requestId, at }) =>
           deadly.has(requestId) &&
           at > propagatedAt &&
--- a/tests/queryOfDeath.spec.ts
+++ b/tests/queryOfDeath.spec.ts
@@ -57,13 +57,13 @@
   const someNode = (): ProcessNode => fleet.nodes[Math.floor(random() * fleet.nodes.length)]!;
   const attempts = () =>
     fleet.nodes
-      .flatMap(({ upstream }) => upstream.arrivals)
+      .flatMap(({ upstream }) => upstream.receivedRequests)
       .filter(({ path }) => path === QUERY_OF_DEATH)
       .map(({ at }) => at)
       .sort((a, b) => a - b);
   const crashes = () =>
     fleet.nodes
-      .flatMap(({ upstream }) => upstream.ends)
+      .flatMap(({ upstream }) => upstream.crashes)
       .map(({ at }) => at)
       .sort((a, b) => a - b);
   const lateAttempts = () => {
@@ -156,7 +156,7 @@
     await sleep(PROPAGATION_MS);
     await Promise.all(fleet.nodes.map(node => node.restart()));
     await fleet.settle();
-    await fleet.calm();
+    await fleet.waitForLowLag();
     const before = attempts().length;
     let isStopped = false;
     const harmless = sendHarmless(() => isStopped);
--- a/tests/rateLimits.spec.ts
+++ b/tests/rateLimits.spec.ts
@@ -44,7 +44,7 @@
   beforeEach(async () => {
     fleet = await ProcessFleet.start(VMS, ROUTES);
     for (const { upstream } of fleet.nodes) upstream.behaviour.workMs = WORK_MS;
-    await fleet.calm();
+    await fleet.waitForLowLag();
   });
 
   afterEach(() => fleet[Symbol.asyncDispose]());
@@ -54,7 +54,7 @@
     await fleet[Symbol.asyncDispose]();
     fleet = await ProcessFleet.start(ONE_DOMAIN_VMS, ROUTES);
     for (const { upstream } of fleet.nodes) upstream.behaviour.workMs = LONG_WORK_MS;
-    await fleet.calm();
+    await fleet.waitForLowLag();
   };
   const node = (index: number): ProcessNode => fleet.nodes[index]!;
   const setRateLimit = (index: number, rate: number | string | string[] | undefined) => {
@@ -63,7 +63,7 @@
   const startLoad = (perSecond = REQUESTS_PER_SECOND) => new SteadyLoad(fleet, { perSecond, hosts: HOSTS });
   const receivedSince = (index: number, from: number) =>
     node(index)
-      .upstream.arrivals.map(({ at }) => at)
+      .upstream.receivedRequests.map(({ at }) => at)
       .filter(at => at >= from);
   const maxInWindow = (index: number, from: number) => mostWithin(receivedSince(index, from), WINDOW_MS);
   const expectWithinLimit = (index: number, rate: number, from: number) =>
@@ -113,7 +113,9 @@
       await sleep(2 * LONG_WORK_MS);
     }
     const own = new Set(load.requests.filter(request => request.node === 0).map(({ id }) => id));
-    const others = node(0).upstream.arrivals.filter(({ requestId, at }) => at >= from && !own.has(requestId));
+    const others = node(0).upstream.receivedRequests.filter(
+      ({ requestId, at }) => at >= from && !own.has(requestId),
+    );
     const times = others.map(({ at }) => at);
     expect(mostWithin(times, WINDOW_MS)).to.be.at.most(maxAllowedInWindow(1));
   });
--- a/tests/relay.spec.ts
+++ b/tests/relay.spec.ts
@@ -17,7 +17,7 @@
   NEVER_CANCELLED,
 } from '@cleatquay/clock';
 import { OrganisationCounts } from '@cleatquay/organisations';
-import { endOf, refusalOf } from '@cleatquay/protocol';
+import { refusalPart, createRefusal } from '@cleatquay/protocol';
 import { type HostRoute, HostRoutes } from '@cleatquay/routes';
 import { expect } from 'chai';
 
@@ -65,7 +65,8 @@
     ) => {
       forwardedSignals.push(signal);
       return new Promise<ReturnType<typeof singlePartResponse>>(resolve => {
-        const cancelled = () => resolve(singlePartResponse(endOf(refusalOf('contactLost', 'Cancelled.'), 0)));
+        const cancelled = () =>
+          resolve(singlePartResponse(refusalPart(createRefusal('contactLost', 'Cancelled.'), 0)));
         signal.addEventListener('abort', cancelled);
       });
     };
--- a/tests/responseNotice.spec.ts
+++ b/tests/responseNotice.spec.ts
@@ -1,7 +1,7 @@
 import { parseNotice } from '@cleatquay/calls';
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { type Answer, PlatformFleet, routeTo, until } from './fixtures/platformFleet.js';
+import { type CallerResponse, PlatformFleet, routeTo, until } from './fixtures/platformFleet.js';
 
 describe('the notice in the headers of a response', () => {
   describe('the rate limit', () => {
@@ -51,7 +51,7 @@
 
     afterEach(() => fleet[Symbol.asyncDispose]());
 
-    const ask = (): Promise<Answer> => fleet.ask(0);
+    const ask = (): Promise<CallerResponse> => fleet.send(0);
     const lines = (text: string) => fleet.logged.filter(({ msg }) => msg.includes(text)).length;
     const metrics = async () => {
       const { operatorAddress } = fleet.nodes[0]!.daemon.membership.me;
--- a/tests/retryBudget.spec.ts
+++ b/tests/retryBudget.spec.ts
@@ -12,7 +12,13 @@
   isFinalPart,
 } from '@cleatquay/calls';
 import { ManualClock, seededRandom } from '@cleatquay/clock';
-import { type AnswerPart, type CallContext, type RequestHead, endOf, refusalOf } from '@cleatquay/protocol';
+import {
+  type AnswerPart,
+  type CallContext,
+  type RequestHead,
+  refusalPart,
+  createRefusal,
+} from '@cleatquay/protocol';
 import { UpstreamDirectory, Router } from '@cleatquay/routing';
 import { type Route } from '@cleatquay/settings';
 import { expect } from 'chai';
@@ -76,7 +82,7 @@
     const outcome = this.outcomes[this.next++ % this.outcomes.length];
     if (outcome === 'refuse')
       return singlePartResponse(
-        endOf(refusalOf('overloaded', '', { elsewhereHelps: true }), context.retryTokens),
+        refusalPart(createRefusal('overloaded', '', { elsewhereHelps: true }), context.retryTokens),
       );
     if (outcome === 'lose') throw new ConnectionLoss('gone', false);
     const running = new RunningCall(context, ROUTE, 1e9, NEVER);
@@ -90,8 +96,8 @@
     }
     if (outcome === 'lose-after-work') throw new ConnectionLoss('gone', false);
     if (outcome === 'break') {
-      const refusal = refusalOf('upstreamBroke', '', { elsewhereHelps: true });
-      return singlePartResponse(endOf(refusal, running.retryTokens));
+      const refusal = createRefusal('upstreamBroke', '', { elsewhereHelps: true });
+      return singlePartResponse(refusalPart(refusal, running.retryTokens));
     }
     const head = { status: 200, headers: '', unframed: false };
     const end = { length: 0, crc32: 0 };
--- a/tests/revocation.spec.ts
+++ b/tests/revocation.spec.ts
@@ -3,14 +3,14 @@
 import {
   PlatformFleet,
   type PlatformNode,
-  type WrittenOrganisation,
+  type OrganisationDefinition,
   configurationText,
   routeTo,
   until,
 } from './fixtures/platformFleet.js';
 
 const REVOCATION_MS = 1500;
-const ORGANISATION: WrittenOrganisation = { name: 'dairy', apiKeys: ['kept', 'revoked'] };
+const ORGANISATION: OrganisationDefinition = { name: 'dairy', apiKeys: ['kept', 'revoked'] };
 const ROUTES = [routeTo('history'), routeTo('history', { name: 'open', host: 'open.example', public: true })];
 
 describe('a revoked key', () => {
@@ -25,7 +25,7 @@
   afterEach(() => fleet[Symbol.asyncDispose]());
 
   const sendTo = (node: number | PlatformNode, key: string) =>
-    fleet.ask(node, { headers: { Authorization: `Bearer ${key}` } });
+    fleet.send(node, { headers: { Authorization: `Bearer ${key}` } });
   const statusesWith = (key: string) =>
     Promise.all(fleet.nodes.map(async node => (await sendTo(node, key)).status));
   const revokeKey = (version: number) =>
@@ -54,9 +54,9 @@
     const refusal = await sendTo(0, 'kept');
     expect(refusal.text).to.contain('"code":2014').and.to.contain('not-run');
     expect(Number(refusal.headers['retry-after'])).to.be.within(0.1, 3);
-    expect((await fleet.ask(0, { host: 'open.example' })).status).to.equal(200);
+    expect((await fleet.send(0, { host: 'open.example' })).status).to.equal(200);
     const withKey = { host: 'open.example', headers: { Authorization: 'Bearer revoked' } };
-    expect((await fleet.ask(0, withKey)).status).to.equal(503);
+    expect((await fleet.send(0, withKey)).status).to.equal(503);
   });
 
   it('does not affect the other keys for longer than a proof is missing: they are accepted again once the platform is back', async () => {
--- a/tests/storeClient.spec.ts
+++ b/tests/storeClient.spec.ts
@@ -45,7 +45,7 @@
   it('times out on a stalled connection even if garbage is collected meanwhile', async () => {
     // As many calls as the client has connections, so that it opens no new one.
     await Promise.all([read(), read(), read()]);
-    proxy.silence();
+    proxy.stall();
     const outcome = read().then(
       () => 'a response',
       (error: unknown) => String(error),
@@ -59,7 +59,7 @@
 
   it('loses only one call when several idle connections stall', async () => {
     await Promise.all([read(), read(), read()]);
-    proxy.silence();
+    proxy.stall();
     const lost = await read().catch((error: unknown) => error);
     expect(String(lost)).to.contain('TimeoutError');
     const start = performance.now();
--- a/tests/suspendedVm.spec.ts
+++ b/tests/suspendedVm.spec.ts
@@ -55,19 +55,19 @@
       beforeEach(() => start(hasUptime));
 
       it('sends calls over its existing connections', async () => {
-        expect((await fleet.ask(0)).status).to.equal(200);
+        expect((await fleet.send(0)).status).to.equal(200);
         suspend(SUSPENDED_MS);
         const statuses: number[] = [];
-        for (let i = 0; i < CALLS; i++) statuses.push((await fleet.ask(0)).status);
+        for (let i = 0; i < CALLS; i++) statuses.push((await fleet.send(0)).status);
         expect(statuses).to.deep.equal(statuses.map(() => 200));
       });
 
       it('sends calls after the time of day was set forward and back', async () => {
-        expect((await fleet.ask(0)).status).to.equal(200);
+        expect((await fleet.send(0)).status).to.equal(200);
         suspendedTime.step(SUSPENDED_MS);
-        const statuses = [(await fleet.ask(0)).status];
+        const statuses = [(await fleet.send(0)).status];
         suspendedTime.step(-SUSPENDED_MS);
-        for (let i = 0; i < CALLS; i++) statuses.push((await fleet.ask(0)).status);
+        for (let i = 0; i < CALLS; i++) statuses.push((await fleet.send(0)).status);
         expect(statuses).to.deep.equal(statuses.map(() => 200));
       });
     });
@@ -95,14 +95,14 @@
       suspend(3000);
       call.end('half');
       await responded;
-      const [received] = fleet.arrivals('split');
+      const [received] = fleet.receivedRequests('split');
       expect(Number(received!.headers['deadline-ms'])).to.be.below(DEADLINE_MS - 3000 + TOLERANCE_MS);
     });
 
     it('answers at the timeout of the route, though it was suspended for most of it', async () => {
       fleet.nodes[1]!.upstream.behaviour.workMs = 60_000;
       const startedAt = performance.now();
-      const response = fleet.ask(0, { host: 'short.example' });
+      const response = fleet.send(0, { host: 'short.example' });
       await sleep(200);
       suspend(TIMEOUT_S * 1000);
       expect((await response).status).to.equal(504);
@@ -115,7 +115,7 @@
 
     it('does not remove the upstream, which was suspended as well', async () => {
       fleet.nodes[1]!.upstream.behaviour.workMs = WORK_MS;
-      const response = fleet.ask(1, { deadlineMs: 2 * SUSPENDED_MS });
+      const response = fleet.send(1, { deadlineMs: 2 * SUSPENDED_MS });
       await sleep(200);
       otherTime.suspend(SUSPENDED_MS);
       expect((await response).status).to.equal(200);
--- a/tests/upstreamNoticeSoak.spec.ts
+++ b/tests/upstreamNoticeSoak.spec.ts
@@ -158,7 +158,7 @@
     sent: Map<string, LoadedRequest>,
   ): InformedRequest[] => {
     const noticeTimes = new Map<number, number>();
-    return node(index).upstream.arrivals.flatMap(({ requestId, at }) => {
+    return node(index).upstream.receivedRequests.flatMap(({ requestId, at }) => {
       const { node: ingress, at: sentAt } = sent.get(requestId)!;
       if (at < from || at > to) return [];
       const noticeAt = noticeTimes.get(ingress) ?? at + WORK_MS;
