--- a/packages/bench/src/added.ts
+++ b/packages/bench/src/addedLatency.ts
@@ -26,7 +26,7 @@
   if (!upstream || !ingress)
     throw new Error(`The fleet needs an upstream of ${route.service} and one of another service.`);
   const nodes = fleet.nodes.filter(node => node.service === route.service);
-  await Promise.all(nodes.map(node => fleet.behave(node, { serviceMs: 0 })));
+  await Promise.all(nodes.map(node => fleet.setBehaviour(node, { serviceMs: 0 })));
   const direct = new Pool(`http://${upstream.upstreamAddress}`);
   const proxied = new Pool(`http://${ingress.addresses.caller}`);
   const path = route.path.replaceAll(/:\w+/g, '7');
@@ -57,7 +57,7 @@
 }
 
 async function restoreServiceTime(fleet: Fleet, nodes: FleetNode[]): Promise<void> {
-  await Promise.all(nodes.map(node => fleet.behave(node, { serviceMs: RESTORED_SERVICE_MS })));
+  await Promise.all(nodes.map(node => fleet.setBehaviour(node, { serviceMs: RESTORED_SERVICE_MS })));
 }
 
 const RESTORED_SERVICE_MS = 4;
--- a/packages/bench/src/classCounts.ts
+++ b/packages/bench/src/classStatistics.ts
@@ -1,7 +1,7 @@
 /** Outcome counts and latencies by class, with a check that each response is complete and belongs to its request. */
 import { type CallerResult } from '@cleatquay/caller';
 import { type RecordableHistogram, createHistogram } from 'node:perf_hooks';
-import { table } from './output.js';
+import { table } from './table.js';
 
 /** Outcome of one request. */
 export interface RequestResult {
--- a/packages/bench/src/daemonGroup.ts
+++ b/packages/bench/src/daemonGroup.ts
@@ -3,12 +3,12 @@
 import { ConfigurationStore } from '@cleatquay/configuration';
 import { HttpStore } from '@cleatquay/store';
 import { request } from 'undici';
-import { ManagedProcess } from './childProcess.js';
-import { deployments, fileOf, sharedFile } from './deployments.js';
+import { ManagedProcess } from './managedProcess.js';
+import { deployments, operatorFileOf, repositoryPath } from './deployments.js';
 import { type DaemonAddresses } from './fleet.js';
 
-const DAEMON = sharedFile('packages/daemon/bin/cleatquayd.js');
-const PLATFORM = sharedFile('packages/standins/dist/platformMain.js');
+const DAEMON = repositoryPath('packages/daemon/bin/cleatquayd.js');
+const PLATFORM = repositoryPath('packages/standins/dist/platformMain.js');
 const MAX_CONCURRENT_STARTS = 8;
 const MAX_SEEDS = 3;
 
@@ -32,7 +32,7 @@
     const deployment = deployments.frostline;
     if (!deployment) throw new Error('The deployment frostline is missing.');
     await using platform = new HttpStore(group.platformUrl);
-    await new ConfigurationStore(platform, new SystemClock()).apply(fileOf(deployment));
+    await new ConfigurationStore(platform, new SystemClock()).apply(operatorFileOf(deployment));
     await group.startDaemon(deployment.failureDomains, 0);
     for (let i = 1; i < count; i += MAX_CONCURRENT_STARTS) {
       const indexes = Array.from({ length: Math.min(MAX_CONCURRENT_STARTS, count - i) }, (_, k) => i + k);
--- a/packages/bench/src/deployments.ts
+++ b/packages/bench/src/deployments.ts
@@ -15,7 +15,7 @@
 }
 
 /** Absolute path of a file of the repository, given relative to its root. */
-export function sharedFile(name: string): string {
+export function repositoryPath(name: string): string {
   return fileURLToPath(new URL(`../../../${name}`, import.meta.url));
 }
 
@@ -23,14 +23,14 @@
 export const deployments: Readonly<Record<string, Deployment>> = {
   frostline: {
     name: 'frostline',
-    path: sharedFile('deployments/frostline.json'),
+    path: repositoryPath('deployments/frostline.json'),
     failureDomains: ['regina-a', 'moose-b', 'swift-c'],
     upstreams: { history: 5, receiving: 4, exports: 3, alarms: 3 },
     serviceMs: { history: 12, receiving: 8, exports: 20, alarms: 4 },
   },
   scaravilli: {
     name: 'scaravilli',
-    path: sharedFile('deployments/scaravilli.json'),
+    path: repositoryPath('deployments/scaravilli.json'),
     failureDomains: ['sala-nord', 'sala-sud', 'magazzino'],
     upstreams: { proofs: 5, payments: 3, prepress: 3, orders: 3 },
     serviceMs: { proofs: 10, payments: 8, prepress: 25, orders: 4 },
@@ -38,6 +38,6 @@
 };
 
 /** Reads the operator file of a deployment. */
-export function fileOf(deployment: Deployment): OperatorFile {
+export function operatorFileOf(deployment: Deployment): OperatorFile {
   return readOperatorFile(deployment.path);
 }
--- a/packages/bench/src/experiments/capacity.ts
+++ b/packages/bench/src/experiments/capacity.ts
@@ -6,9 +6,9 @@
 import { createServer } from 'node:net';
 import { type AddressInfo } from 'node:net';
 import { request } from 'undici';
-import { deployments, fileOf } from '../deployments.js';
+import { deployments, operatorFileOf } from '../deployments.js';
 import { DaemonGroup } from '../daemonGroup.js';
-import { table } from '../output.js';
+import { table } from '../table.js';
 import { SimulatedNetwork, simulatedAddresses } from '../simulatedNetwork.js';
 
 const SETTLE_MS = 5000;
@@ -82,7 +82,7 @@
 async function applyChange(group: DaemonGroup, clock: SystemClock, slots: number): Promise<number[]> {
   const deployment = deployments.frostline;
   if (!deployment) throw new Error('The deployment frostline is missing.');
-  const file = structuredClone(fileOf(deployment));
+  const file = structuredClone(operatorFileOf(deployment));
   const alarms = file.services.alarms;
   if (alarms) alarms.slots = slots;
   await using platform = new HttpStore(group.platformUrl);
@@ -116,10 +116,10 @@
   await using network = new SimulatedNetwork('capacity');
   const addresses = simulatedAddresses(members);
   for (const address of addresses) network.start(address, addresses.slice(0, 3));
-  await network.pass(GOSSIP_SETTLE_MS);
+  await network.advance(GOSSIP_SETTLE_MS);
   const sent = () => addresses.reduce((sum, address) => sum + network.get(address).traffic.sentBytes, 0);
   const beforeIdle = sent();
-  await network.pass(SIMULATED_SECONDS * 1000);
+  await network.advance(SIMULATED_SECONDS * 1000);
   const idle = sent() - beforeIdle;
   const beforeChanges = sent();
   for (let i = 0; i < SIMULATED_CHANGES; i++) {
@@ -127,7 +127,7 @@
     network
       .get(address)
       .setUpstreams([{ service: 's', address, slots: i + 1, connections: 9, draining: false }]);
-    await network.pass((SIMULATED_SECONDS * 1000) / SIMULATED_CHANGES);
+    await network.advance((SIMULATED_SECONDS * 1000) / SIMULATED_CHANGES);
   }
   const changing = sent() - beforeChanges;
   return {
--- a/packages/bench/src/experiments/fleetRuns.ts
+++ b/packages/bench/src/experiments/fleetRuns.ts
@@ -24,14 +24,14 @@
   const partitionedDomain = domains[0] ?? '';
   await clock.sleep(STABILISE_MS);
   await setDomainPartition(fleet, partitionedDomain, true);
-  await fleet.disturbPlatform({ down: true });
+  await fleet.setPlatformFaults({ down: true });
   const end = clock.now() + seconds * 1000;
   const requests = await Promise.all(
     domains.map(domain => sendMix(mixOptions(fleet, clock, seed, domain), () => clock.now() >= end)),
   );
   await setDomainPartition(fleet, partitionedDomain, false);
-  await fleet.disturbPlatform({ down: false });
-  await fleet.settled();
+  await fleet.setPlatformFaults({ down: false });
+  await fleet.waitUntilConverged();
   const compared = toVariantResult(requests.flat(), readLedgers(fleet, fleet.nodes), seconds);
   const figures = { ...compared, invariantViolations: await fleet.invariantViolations() };
   const answered = Object.fromEntries(domains.map((domain, i) => [domain, answeredShare(requests[i] ?? [])]));
--- a/packages/bench/src/experiments/index.ts
+++ b/packages/bench/src/experiments/index.ts
@@ -126,14 +126,14 @@
     slowFactor: 1,
     normalDemand: 0.5,
     injectFault: async (fleet, [first]) => {
-      if (first) await fleet.behave(first, { slowFactor: 10 });
+      if (first) await fleet.setBehaviour(first, { slowFactor: 10 });
     },
   }),
   'platform-outage-under-surge': overload('demand is three times the capacity while the platform is down', {
     depth: 3,
     demand: 3,
     slowFactor: 1,
-    injectFault: fleet => fleet.disturbPlatform({ down: true }),
-    clearFault: fleet => fleet.disturbPlatform({ down: false }),
+    injectFault: fleet => fleet.setPlatformFaults({ down: true }),
+    clearFault: fleet => fleet.setPlatformFaults({ down: false }),
   }),
 };
--- a/packages/bench/src/experiments/overload.ts
+++ b/packages/bench/src/experiments/overload.ts
@@ -3,7 +3,7 @@
 import { cpus } from 'node:os';
 import { chainCapacity, chainFile, chainNodes, serviceAt } from '../chain.js';
 import { Fleet, type FleetNode } from '../fleet.js';
-import { OpenLoopLoad } from '../load.js';
+import { OpenLoopLoad } from '../openLoopLoad.js';
 import {
   type Trigger,
   type VariantResult,
@@ -90,7 +90,7 @@
 
 /** Ignores upstreams that were killed in the meantime. */
 async function setSlowFactor(fleet: Fleet, nodes: readonly FleetNode[], slowFactor: number): Promise<void> {
-  await Promise.all(nodes.map(node => fleet.behave(node, { slowFactor }).catch(() => undefined)));
+  await Promise.all(nodes.map(node => fleet.setBehaviour(node, { slowFactor }).catch(() => undefined)));
 }
 
 async function collectFigures(
--- a/packages/bench/src/experiments/truth.ts
+++ b/packages/bench/src/experiments/truth.ts
@@ -1,7 +1,7 @@
 /** Compares the outcomes that callers see under random faults with the ledgers of the upstreams. */
 import { SystemClock, seededRandom } from '@cleatquay/clock';
-import { deployments, fileOf } from '../deployments.js';
-import { FaultInjector } from '../faultPlan.js';
+import { deployments, operatorFileOf } from '../deployments.js';
+import { FaultInjector } from '../faultInjector.js';
 import { Fleet, type FleetNode } from '../fleet.js';
 import { toVariantResult, sendMix } from '../mixedLoad.js';
 import { type VariantResult } from '../results.js';
@@ -48,7 +48,7 @@
 export async function startThreeDomains(seed: string): Promise<Fleet> {
   const deployment = deployments.frostline;
   if (!deployment) throw new Error('The deployment frostline is missing.');
-  const file = fileOf(deployment);
+  const file = operatorFileOf(deployment);
   const nodes = SERVICES.flatMap(service =>
     deployment.failureDomains.map(failureDomain => ({
       service,
--- a/packages/bench/src/faultPlan.ts
+++ b/packages/bench/src/faultInjector.ts
@@ -88,20 +88,20 @@
   }
 
   private async replace(node: FleetNode): Promise<void> {
-    const replacement = await this.fleet.replace(node, this.behaviour);
+    const replacement = await this.fleet.replaceNode(node, this.behaviour);
     this.onReplaced(node, replacement);
   }
 
   private async disturbPlatform(faults: object, recovery: object): Promise<void> {
-    await this.fleet.disturbPlatform(faults);
+    await this.fleet.setPlatformFaults(faults);
     await this.clock.sleep(this.random() * MAX_FAULT_MS);
-    await this.fleet.disturbPlatform(recovery);
+    await this.fleet.setPlatformFaults(recovery);
   }
 
   private async drain(node: FleetNode): Promise<void> {
-    await this.fleet.behave(node, { draining: true });
+    await this.fleet.setBehaviour(node, { draining: true });
     await this.clock.sleep(this.random() * MAX_FAULT_MS);
-    await this.fleet.behave(node, { draining: false });
+    await this.fleet.setBehaviour(node, { draining: false });
   }
 
   private async partition(node: FleetNode, bothWays: boolean): Promise<void> {
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -8,12 +8,12 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { request } from 'undici';
-import { ManagedProcess } from './childProcess.js';
-import { sharedFile } from './deployments.js';
+import { ManagedProcess } from './managedProcess.js';
+import { repositoryPath } from './deployments.js';
 
-const DAEMON = sharedFile('packages/daemon/bin/cleatquayd.js');
-const UPSTREAM = sharedFile('packages/standins/dist/upstreamMain.js');
-const PLATFORM = sharedFile('packages/standins/dist/platformMain.js');
+const DAEMON = repositoryPath('packages/daemon/bin/cleatquayd.js');
+const UPSTREAM = repositoryPath('packages/standins/dist/upstreamMain.js');
+const PLATFORM = repositoryPath('packages/standins/dist/platformMain.js');
 const MAX_CONCURRENT_STARTS = 8;
 const MAX_SEEDS = 3;
 const READY_POLL_MS = 50;
@@ -88,7 +88,7 @@
           )),
         );
       }
-      await fleet.settled();
+      await fleet.waitUntilConverged();
       return fleet;
     } catch (error) {
       await fleet[Symbol.asyncDispose]();
@@ -133,7 +133,7 @@
   }
 
   /** Waits until every daemon has a configuration and sees every upstream. */
-  async settled(): Promise<void> {
+  async waitUntilConverged(): Promise<void> {
     const deadline = performance.now() + READY_TIMEOUT_MS;
     for (const node of this.nodes) {
       while (!(await this.hasConverged(node))) {
@@ -155,7 +155,7 @@
   }
 
   /** Kills the processes of a VM and starts a replacement. The ledger of the old VM stays readable. */
-  async replace(node: FleetNode, behaviour: Partial<UpstreamBehaviour>): Promise<FleetNode> {
+  async replaceNode(node: FleetNode, behaviour: Partial<UpstreamBehaviour>): Promise<FleetNode> {
     await Promise.all([node.daemon[Symbol.asyncDispose](), node.upstream[Symbol.asyncDispose]()]);
     const { service, failureDomain } = node;
     const replacement = await this.startNode({ service, failureDomain, behaviour });
@@ -178,7 +178,7 @@
   }
 
   /** Changes the simulated behaviour of an upstream. */
-  async behave(node: FleetNode, behaviour: Partial<UpstreamBehaviour>): Promise<void> {
+  async setBehaviour(node: FleetNode, behaviour: Partial<UpstreamBehaviour>): Promise<void> {
     await post(`http://${node.upstreamAddress}/_behaviour`, behaviour);
   }
 
@@ -188,7 +188,7 @@
   }
 
   /** Injects faults into the stand-in of the platform, or clears them. */
-  async disturbPlatform(faults: Partial<StoreFaults>): Promise<void> {
+  async setPlatformFaults(faults: Partial<StoreFaults>): Promise<void> {
     await post(`${this.platformUrl}/_faults`, faults);
   }
 
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -3,7 +3,7 @@
 import { hideBin } from 'yargs/helpers';
 import { measureCapacity } from './experiments/capacity.js';
 import { experiments } from './experiments/index.js';
-import { table } from './output.js';
+import { table } from './table.js';
 import { type ExperimentResult } from './results.js';
 
 const VIOLATION_EXIT_CODE = 1;
--- a/packages/bench/src/results.ts
+++ b/packages/bench/src/results.ts
@@ -1,7 +1,7 @@
 /** Results of an experiment: figures for each variant, and violated invariants. */
 import { type Effect } from '@cleatquay/standins';
 import { CLASSES, type ChainClass } from './chain.js';
-import { type Sample } from './load.js';
+import { type Sample } from './openLoopLoad.js';
 
 /** Figures of one variant; those that an experiment doesn't measure are absent. Rates are in requests a second. */
 export interface VariantResult {
--- a/packages/bench/src/start.ts
+++ b/packages/bench/src/start.ts
@@ -4,11 +4,11 @@
 import { CallGraph, type Route } from '@cleatquay/settings';
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
-import { measureAddedLatency } from './added.js';
-import { type RequestResult, ClassStatistics, isCompleteResponse } from './classCounts.js';
-import { deployments, fileOf } from './deployments.js';
+import { measureAddedLatency } from './addedLatency.js';
+import { type RequestResult, ClassStatistics, isCompleteResponse } from './classStatistics.js';
+import { deployments, operatorFileOf } from './deployments.js';
 import { Fleet } from './fleet.js';
-import { table } from './output.js';
+import { table } from './table.js';
 
 const REQUESTS = 600;
 const RATE_PER_SECOND = 100;
@@ -26,7 +26,7 @@
 if (!deployment) throw new Error(`No deployment is named ${argv.deployment}.`);
 const clock = new SystemClock();
 const random: Random = seededRandom(argv.seed);
-const file = fileOf(deployment);
+const file = operatorFileOf(deployment);
 const graph = new CallGraph(file);
 const routes = Object.entries(file.services).flatMap(([service, { routes: declared }]) =>
   Object.keys(declared).flatMap(name => graph.get(`${service}.${name}`) ?? []),
--- a/tests/atMostOnce.spec.ts
+++ b/tests/atMostOnce.spec.ts
@@ -107,7 +107,7 @@
     const KEY = { 'idempotency-key': 'receipt-7' };
 
     it('runs at most once when responses of the platform are lost', async () => {
-      await fleet.disturbPlatform({ loseAnswers: 0.5 });
+      await fleet.setPlatformFaults({ loseAnswers: 0.5 });
       const responses = await Promise.all(all.map(node => confirm(node, 'keyed', KEY)));
       const answered = responses.filter(response => response.outcome === 'answered');
       expect(new Set(answered.map(response => response.text)).size).to.be.at.most(1);
@@ -115,7 +115,7 @@
     });
 
     it('is refused with a result code and an unknown outcome while the platform is down', async () => {
-      await fleet.disturbPlatform({ down: true });
+      await fleet.setPlatformFaults({ down: true });
       const response = await confirm(ingress, 'down', KEY);
       expect([response.outcome, response.code]).to.deep.equal(['unknown', 3006]);
       expect(runsOf(fleet, all, 'down').started).to.equal(0);
--- a/tests/commandLine.spec.ts
+++ b/tests/commandLine.spec.ts
@@ -1,4 +1,4 @@
-import { type Fleet, deployments, sharedFile } from '@cleatquay/bench';
+import { type Fleet, deployments, repositoryPath } from '@cleatquay/bench';
 import { expect } from 'chai';
 import { execFile } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -33,7 +33,7 @@
     new Promise<CommandResult>(resolve => {
       const daemon = fleet.nodes[0]!.addresses.operator;
       const flags = [`--platform=${fleet.platformUrl}`, `--daemon=${daemon}`];
-      const program = sharedFile('packages/cli/bin/cleatquay.js');
+      const program = repositoryPath('packages/cli/bin/cleatquay.js');
       execFile(process.execPath, [program, ...args, ...flags], (error, out, err) => {
         resolve({ code: error ? Number(error.code) : 0, out, err });
       });
--- a/tests/configuration.spec.ts
+++ b/tests/configuration.spec.ts
@@ -1,6 +1,6 @@
 import { ManualClock, SystemClock, seededRandom } from '@cleatquay/clock';
 import { Configuration, ConfigurationStore, joinSections, splitSections } from '@cleatquay/configuration';
-import { deployments, fileOf } from '@cleatquay/bench';
+import { deployments, operatorFileOf } from '@cleatquay/bench';
 import type { Failure } from '@cleatquay/errors';
 import { HttpStore } from '@cleatquay/store';
 import { CallGraph, type OperatorFile } from '@cleatquay/settings';
@@ -11,7 +11,7 @@
 const ROUNDS = 100;
 
 function withSlots(slots: number): OperatorFile {
-  const file = structuredClone(fileOf(deployments.frostline!));
+  const file = structuredClone(operatorFileOf(deployments.frostline!));
   file.services.alarms!.slots = slots;
   return file;
 }
--- a/tests/leaving.spec.ts
+++ b/tests/leaving.spec.ts
@@ -53,7 +53,7 @@
 
   it('sends nothing to an upstream two seconds after it announced that it is draining, and fails no request', async () => {
     expect(runs()).to.be.greaterThan(0);
-    await fleet.behave(drainedNode, { draining: true });
+    await fleet.setBehaviour(drainedNode, { draining: true });
     await sleep(DRAIN_TIMEOUT_MS);
     const before = runs();
     await sleep(1000);
@@ -84,7 +84,9 @@
 
   it('lets an ingress daemon that receives SIGTERM answer all its callers', async () => {
     const slow = fleet.nodes.filter(node => node.service === 'receiving');
-    await Promise.all(slow.map(node => fleet.behave(node, { serviceMs: 800, serviceTimes: 'constant' })));
+    await Promise.all(
+      slow.map(node => fleet.setBehaviour(node, { serviceMs: 800, serviceTimes: 'constant' })),
+    );
     const results = [1, 2, 3, 4].map(i => confirm(ingress, `last-${String(i)}`, {}));
     await sleep(100);
     stop = true;
--- a/tests/leavingAnswers.spec.ts
+++ b/tests/leavingAnswers.spec.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { routeTo } from './fixtures/platformFleet.js';
 import { ProcessFleet, type ProcessNode, type ProcessVm } from './fixtures/platformProcesses.js';
-import { type LoadedRequest, SteadyLoad, servedShare } from './fixtures/steadyLoad.js';
+import { type LoadRequest, SteadyLoad, successRatio } from './fixtures/steadyLoad.js';
 
 /** No request that is sent later than this after the notice may reach an upstream that is shutting down, ms. */
 const DRAIN_TIMEOUT_MS = 2000;
@@ -47,7 +47,7 @@
    * Requests that reached an upstream that is shutting down, though their ingress daemon had sent them too long after it
    * forwarded a response with that notice.
    */
-  const lateRequests = (load: SteadyLoad, index: number, from: number): LoadedRequest[] => {
+  const lateRequests = (load: SteadyLoad, index: number, from: number): LoadRequest[] => {
     const sent = new Map(load.requests.map(request => [request.id, request]));
     const noticeTimes = new Map<number, number>();
     return requestsAt(index, from).flatMap(({ requestId, at }) => {
@@ -66,7 +66,7 @@
     const drainedAt = performance.now();
     await sleep(DRAIN_TIMEOUT_MS);
     for (const index of LEAVING_INDEXES) expect(requestsAt(index, drainedAt).length).to.equal(0);
-    expect(servedShare(load.sentBetween(from, drainedAt))).to.be.above(MIN_SERVED_RATIO);
+    expect(successRatio(load.sentBetween(from, drainedAt))).to.be.above(MIN_SERVED_RATIO);
   });
 
   it('gets no more requests from daemons that received its notice after its own daemon restarted without the platform', async () => {
@@ -117,7 +117,7 @@
     const restartedAt = performance.now();
     await sleep(DRAIN_TIMEOUT_MS);
     for (const index of LEAVING_INDEXES) expect(requestsAt(index, restartedAt).length).to.be.above(20);
-    expect(servedShare(load.sentBetween(restartedAt, performance.now() - SETTLE_MS))).to.be.above(
+    expect(successRatio(load.sentBetween(restartedAt, performance.now() - SETTLE_MS))).to.be.above(
       MIN_SERVED_RATIO,
     );
   });
--- a/tests/membership.spec.ts
+++ b/tests/membership.spec.ts
@@ -10,7 +10,7 @@
   const network = new SimulatedNetwork(seed);
   for (const address of addresses(count))
     network.start(address, [FIRST, SECOND], address < '10.0.0.2' ? 'a' : 'b');
-  await network.pass(5000);
+  await network.advance(5000);
   return network;
 }
 
@@ -18,25 +18,25 @@
   it('gives each member the full list through two seeds', async () => {
     await using network = await joined('join');
     for (const address of network.addresses)
-      expect(network.countSeen(address, ['ALIVE'])).to.equal(COUNT - 1);
+      expect(network.countViews(address, ['ALIVE'])).to.equal(COUNT - 1);
   });
 
   it('declares only a killed member dead while one datagram in ten is lost', async () => {
     await using network = await joined('kill');
-    network.path = () => (network.random() < 0.1 ? 'lose' : 'deliver');
+    network.deliveryPolicy = () => (network.random() < 0.1 ? 'lose' : 'deliver');
     const victim = network.addresses[7]!;
     await network.kill(victim);
-    await network.pass(40_000);
-    expect(network.countSeen(victim, ['DEAD'])).to.equal(COUNT - 1);
-    for (const address of network.addresses) expect(network.countSeen(address, ['DEAD'])).to.equal(0);
+    await network.advance(40_000);
+    expect(network.countViews(victim, ['DEAD'])).to.equal(COUNT - 1);
+    for (const address of network.addresses) expect(network.countViews(address, ['DEAD'])).to.equal(0);
   });
 
   it('marks a member that leaves at once', async () => {
     await using network = await joined('leave');
     const leaving = network.addresses[9]!;
     network.get(leaving).leave();
-    await network.pass(1000);
-    expect(network.countSeen(leaving, ['LEFT'])).to.equal(COUNT - 1);
+    await network.advance(1000);
+    expect(network.countViews(leaving, ['LEFT'])).to.equal(COUNT - 1);
   });
 
   it('broadcasts a drain to all members within two seconds', async () => {
@@ -44,7 +44,7 @@
     const draining = network.addresses[3]!;
     const upstream = { service: 's', address: draining, slots: 1, connections: 1, draining: true };
     network.get(draining).setUpstreams([upstream]);
-    await network.pass(2000);
+    await network.advance(2000);
     const views = network.addresses.map(a => network.get(a).table.get(draining)?.upstreams[0]?.draining);
     expect(views).to.deep.equal(Array(COUNT).fill(true));
   });
@@ -55,7 +55,7 @@
       const draining = network.addresses[3]!;
       const upstream = { service: 's', address: draining, slots: 1, connections: 1, draining: true };
       network.get(draining).setUpstreams([upstream]);
-      await network.pass(2000);
+      await network.advance(2000);
       const informed = network.addresses.filter(
         a => network.get(a).table.get(draining)?.upstreams[0]?.draining === true,
       );
@@ -69,8 +69,8 @@
     const old = network.get(address).me.epoch;
     await network.kill(address);
     network.start(address, [FIRST, SECOND]);
-    await network.pass(5000);
-    expect(network.countSeen(address, ['ALIVE'])).to.equal(COUNT - 1);
+    await network.advance(5000);
+    expect(network.countViews(address, ['ALIVE'])).to.equal(COUNT - 1);
     const epochs = network.addresses.map(a => network.get(a).table.get(address)?.epoch ?? 0);
     expect(Math.min(...epochs)).to.be.greaterThan(old);
   });
@@ -79,24 +79,24 @@
     this.timeout(120_000);
     await using network = await joined('heal', 12);
     const isLeft = (address: string) => address < addresses(12)[6]!;
-    network.path = (from, to) => (isLeft(from) === isLeft(to) ? 'deliver' : 'lose');
-    await network.pass(120_000);
+    network.deliveryPolicy = (from, to) => (isLeft(from) === isLeft(to) ? 'deliver' : 'lose');
+    await network.advance(120_000);
     for (const address of network.addresses.filter(isLeft)) {
       await network.kill(address);
       network.start(address, [FIRST, SECOND]);
     }
-    await network.pass(60_000);
-    network.path = () => 'deliver';
-    await network.pass(120_000);
+    await network.advance(60_000);
+    network.deliveryPolicy = () => 'deliver';
+    await network.advance(120_000);
     for (const address of network.addresses)
-      expect(network.countSeen(address, ['ALIVE']), address).to.equal(11);
+      expect(network.countViews(address, ['ALIVE']), address).to.equal(11);
   });
 
   it('broadcasts a generation to all members within two seconds', async () => {
     await using network = await joined('spread');
     network.get(FIRST).setConfiguration({ generation: 7, shortDigest: 1 });
-    await network.pass(2000);
-    const informed = network.addresses.filter(a => a !== FIRST).map(a => network.generationsHeard.get(a));
+    await network.advance(2000);
+    const informed = network.addresses.filter(a => a !== FIRST).map(a => network.receivedGenerations.get(a));
     expect(informed).to.deep.equal(Array(COUNT - 1).fill(7));
   });
 
@@ -107,9 +107,9 @@
       await using network = new SimulatedNetwork('many');
       for (const [i, address] of addresses(SIZE).entries()) {
         network.start(address, []).join(addresses(i));
-        if (i % 6 === 5) await network.pass(10);
+        if (i % 6 === 5) await network.advance(10);
       }
-      await network.pass(2000);
+      await network.advance(2000);
       const known = network.addresses.map(address => network.get(address).aliveCount());
       expect(Math.min(...known)).to.be.at.least(SIZE - 3);
       const sent = network.addresses.reduce((sum, a) => sum + network.get(a).traffic.sentBytes, 0);
--- a/tests/operatorLimits.spec.ts
+++ b/tests/operatorLimits.spec.ts
@@ -1,5 +1,5 @@
 import { SystemClock } from '@cleatquay/clock';
-import { type Fleet, deployments, fileOf } from '@cleatquay/bench';
+import { type Fleet, deployments, operatorFileOf } from '@cleatquay/bench';
 import { ConfigurationStore } from '@cleatquay/configuration';
 import { HttpStore } from '@cleatquay/store';
 import { expect } from 'chai';
@@ -31,7 +31,7 @@
 
   it('is active within seconds of a change, without a restart of the upstream', async () => {
     await using platform = new HttpStore(fleet.platformUrl);
-    const file = structuredClone(fileOf(deployments.frostline!));
+    const file = structuredClone(operatorFileOf(deployments.frostline!));
     file.services.alarms!.slots = 5;
     await new ConfigurationStore(platform, new SystemClock()).apply(file);
     await sleep(CONFIGURATION_DELAY_MS);
--- a/tests/organisationSoak.spec.ts
+++ b/tests/organisationSoak.spec.ts
@@ -9,7 +9,7 @@
 import { FAULTS } from './fixtures/processFaults.js';
 import { type OrganisationDefinition, configurationText, routeTo } from './fixtures/platformFleet.js';
 import { ProcessFleet, type ProcessVm } from './fixtures/platformProcesses.js';
-import { mostWithin } from './fixtures/windows.js';
+import { maxCountInWindow } from './fixtures/maxCountInWindow.js';
 
 const ROUNDS = Number(process.env.CLEATQUAY_ROUNDS ?? 8);
 const SEED = process.env.CLEATQUAY_SEED ?? '1';
@@ -128,7 +128,7 @@
     expect(hotRuns.length).to.be.greaterThan(0);
     expect(executed().length).to.be.greaterThan(hotRuns.length);
     expect(
-      mostWithin(
+      maxCountInWindow(
         hotRuns.map(({ at }) => at),
         WINDOW_MS,
       ),
--- a/tests/rateLimit.spec.ts
+++ b/tests/rateLimit.spec.ts
@@ -5,7 +5,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { SuspendableTime } from './fixtures/suspendableTime.js';
-import { mostWithin } from './fixtures/windows.js';
+import { maxCountInWindow } from './fixtures/maxCountInWindow.js';
 
 const WINDOW_MS = 4000;
 const HEARTBEAT_MS = 1500;
@@ -53,7 +53,7 @@
           else if (s.kind === 'report') rate.named(s.rate);
           else rate.applyPeerRate(s.rate);
         }
-        expect(mostWithin(times, WINDOW_MS)).to.be.at.most((50 * (WINDOW_MS + 500)) / 1000 + 1);
+        expect(maxCountInWindow(times, WINDOW_MS)).to.be.at.most((50 * (WINDOW_MS + 500)) / 1000 + 1);
       }),
     );
   });
--- a/tests/rateLimits.spec.ts
+++ b/tests/rateLimits.spec.ts
@@ -2,8 +2,8 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { routeTo } from './fixtures/platformFleet.js';
 import { ProcessFleet, type ProcessNode, type ProcessVm } from './fixtures/platformProcesses.js';
-import { SteadyLoad, servedShare } from './fixtures/steadyLoad.js';
-import { mostWithin } from './fixtures/windows.js';
+import { SteadyLoad, successRatio } from './fixtures/steadyLoad.js';
+import { maxCountInWindow } from './fixtures/maxCountInWindow.js';
 
 /** Time from the first response that reports a limit until it must be observed, ms. */
 const EFFECTIVE_AFTER_MS = 3000;
@@ -65,7 +65,8 @@
     node(index)
       .upstream.receivedRequests.map(({ at }) => at)
       .filter(at => at >= from);
-  const maxInWindow = (index: number, from: number) => mostWithin(receivedSince(index, from), WINDOW_MS);
+  const maxInWindow = (index: number, from: number) =>
+    maxCountInWindow(receivedSince(index, from), WINDOW_MS);
   const expectWithinLimit = (index: number, rate: number, from: number) =>
     expect(
       maxInWindow(index, from),
@@ -83,7 +84,7 @@
     expectWithinLimit(0, 18.9, from);
     expectWithinLimit(3, 11.3, from);
     expect(receivedSince(0, from).length).to.be.above((18.9 * MEASURED_MS) / 2000);
-    expect(servedShare(load.sentBetween(from, performance.now() - SETTLE_MS))).to.be.above(MIN_SERVED_RATIO);
+    expect(successRatio(load.sentBetween(from, performance.now() - SETTLE_MS))).to.be.above(MIN_SERVED_RATIO);
   });
 
   it('gets no more requests than that while the daemons are killed and restarted one after the other', async () => {
@@ -117,7 +118,7 @@
       ({ requestId, at }) => at >= from && !own.has(requestId),
     );
     const times = others.map(({ at }) => at);
-    expect(mostWithin(times, WINDOW_MS)).to.be.at.most(maxAllowedInWindow(1));
+    expect(maxCountInWindow(times, WINDOW_MS)).to.be.at.most(maxAllowedInWindow(1));
   });
 
   it('gets no burst after its daemon was suspended', async () => {
@@ -173,7 +174,7 @@
     expect(receivedSince(0, removedAt).length, 'requests received in a second without a limit').to.be.above(
       20,
     );
-    expect(servedShare(load.sentBetween(from, removedAt))).to.be.above(MIN_SERVED_RATIO);
+    expect(successRatio(load.sentBetween(from, removedAt))).to.be.above(MIN_SERVED_RATIO);
   });
 
   it('keeps its limit while it reports invalid ones, and gets the lowest of several', async () => {
@@ -205,7 +206,7 @@
     expect(servedPerSecond / totalRate).to.be.above(MIN_USED_RATIO);
     const urgent = sent.filter(({ host }) => host === URGENT);
     const others = sent.filter(({ host }) => host === OTHER);
-    expect(servedShare(urgent)).to.be.above(servedShare(others));
+    expect(successRatio(urgent)).to.be.above(successRatio(others));
     const statuses = [...urgent, ...others].map(({ status }) => status);
     expect(statuses.filter(status => status !== 200 && status !== 503)).to.deep.equal([]);
   });
--- a/tests/settings.spec.ts
+++ b/tests/settings.spec.ts
@@ -1,5 +1,5 @@
 import { Failure, resultCodes } from '@cleatquay/errors';
-import { fileOf, deployments, sharedFile } from '@cleatquay/bench';
+import { operatorFileOf, deployments, repositoryPath } from '@cleatquay/bench';
 import {
   type OperatorFile,
   OperatorFileSchema,
@@ -22,7 +22,7 @@
 }
 
 const failureOfChange = (change: (file: OperatorFile) => void) => {
-  const file = structuredClone(fileOf(deployments.frostline!));
+  const file = structuredClone(operatorFileOf(deployments.frostline!));
   change(file);
   return failureOf(() => checkOperatorFile(file));
 };
@@ -83,13 +83,13 @@
   describe('published pages', () => {
     it('contain the schemas that the code validates against', () => {
       const published = (name: string) =>
-        JSON.parse(readFileSync(sharedFile(`schemas/${name}.json`), 'utf8')) as unknown;
+        JSON.parse(readFileSync(repositoryPath(`schemas/${name}.json`), 'utf8')) as unknown;
       expect(published('operator-file')).to.deep.equal(JSON.parse(JSON.stringify(OperatorFileSchema)));
       expect(published('process-settings')).to.deep.equal(JSON.parse(JSON.stringify(ProcessSettingsSchema)));
     });
 
     it('list every result code with its number and outcome', () => {
-      const page = readFileSync(sharedFile('docs/RESULT-CODES.md'), 'utf8');
+      const page = readFileSync(repositoryPath('docs/RESULT-CODES.md'), 'utf8');
       for (const [name, { code, status, outcome }] of Object.entries(resultCodes)) {
         expect(page).to.contain(`| ${String(code)} | ${name} | ${String(status)} | ${outcome} |`);
       }
--- a/tests/upstreamNoticeSoak.spec.ts
+++ b/tests/upstreamNoticeSoak.spec.ts
@@ -9,8 +9,8 @@
 import { routeTo } from './fixtures/platformFleet.js';
 import { ProcessFleet, type ProcessNode, type ProcessVm } from './fixtures/platformProcesses.js';
 import { FAULTS } from './fixtures/processFaults.js';
-import { type LoadedRequest, SteadyLoad } from './fixtures/steadyLoad.js';
-import { mostWithin } from './fixtures/windows.js';
+import { type LoadRequest, SteadyLoad } from './fixtures/steadyLoad.js';
+import { maxCountInWindow } from './fixtures/maxCountInWindow.js';
 
 const ROUNDS = Number(process.env.CLEATQUAY_ROUNDS ?? 5);
 const SEED = process.env.CLEATQUAY_SEED ?? '1';
@@ -155,7 +155,7 @@
   const fromInformedDaemons = (
     index: number,
     { from, to }: Span,
-    sent: Map<string, LoadedRequest>,
+    sent: Map<string, LoadRequest>,
   ): InformedRequest[] => {
     const noticeTimes = new Map<number, number>();
     return node(index).upstream.receivedRequests.flatMap(({ requestId, at }) => {
@@ -168,18 +168,18 @@
   };
 
   /** Number of requests above the limit in the fullest window. */
-  const excess = (index: number, limitSpan: RateLimitSpan, sent: Map<string, LoadedRequest>): number => {
+  const excess = (index: number, limitSpan: RateLimitSpan, sent: Map<string, LoadRequest>): number => {
     const allowed = (TOLERATED_RATIO * limitSpan.rate * WINDOW_MS) / 1000 + TOLERATED_REQUESTS;
     const times = fromInformedDaemons(index, limitSpan, sent)
       .filter(
         ({ at, noticeAt }) => at > noticeAt + NOTICE_MARGIN_MS && at >= limitSpan.from + EFFECTIVE_AFTER_MS,
       )
       .map(({ at }) => at);
-    return Math.max(0, mostWithin(times, WINDOW_MS) - allowed);
+    return Math.max(0, maxCountInWindow(times, WINDOW_MS) - allowed);
   };
 
   /** Requests sent by daemons too long after these forwarded the notice that the upstream is shutting down. */
-  const lateRequests = (index: number, leaving: Span, sent: Map<string, LoadedRequest>): InformedRequest[] =>
+  const lateRequests = (index: number, leaving: Span, sent: Map<string, LoadRequest>): InformedRequest[] =>
     fromInformedDaemons(index, leaving, sent).filter(
       ({ sentAt, noticeAt }) => sentAt > noticeAt + DRAIN_TIMEOUT_MS,
     );
--- a/tests/upstreamNotices.spec.ts
+++ b/tests/upstreamNotices.spec.ts
@@ -1,4 +1,4 @@
-import { type Fleet, type FleetNode, sharedFile } from '@cleatquay/bench';
+import { type Fleet, type FleetNode, repositoryPath } from '@cleatquay/bench';
 import { expect } from 'chai';
 import { execFileSync } from 'node:child_process';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -32,7 +32,7 @@
 
   const runs = () => fleet.ledger(reporting).length;
   const status = () => {
-    const program = sharedFile('packages/cli/bin/cleatquay.js');
+    const program = repositoryPath('packages/cli/bin/cleatquay.js');
     const args = [program, 'status', `--daemon=${ingress.addresses.operator}`];
     return execFileSync(process.execPath, args, { encoding: 'utf8' });
   };
@@ -53,7 +53,7 @@
 
   it('observes a rate limit, shows it in the command line, and fails no request', async () => {
     const outcomes = await whileSending(async () => {
-      await fleet.behave(reporting, { rateLimit: '5' });
+      await fleet.setBehaviour(reporting, { rateLimit: '5' });
       await sleep(EFFECTIVE_AFTER_MS);
       const before = runs();
       await sleep(MEASURED_MS);
@@ -66,7 +66,7 @@
 
   it('observes a rate limit while the ingress daemon is repeatedly partitioned from the upstream and reconnected', async () => {
     await whileSending(async () => {
-      await fleet.behave(reporting, { rateLimit: '5' });
+      await fleet.setBehaviour(reporting, { rateLimit: '5' });
       await sleep(EFFECTIVE_AFTER_MS);
       const before = runs();
       for (let i = 0; i < PARTITIONS; i++) {
@@ -81,7 +81,7 @@
 
   it('sends nothing to an upstream that is shutting down while its announcements report ready, and fails no request', async () => {
     const outcomes = await whileSending(async () => {
-      await fleet.behave(reporting, { saysLeaving: true });
+      await fleet.setBehaviour(reporting, { saysLeaving: true });
       await sleep(EFFECTIVE_AFTER_MS);
       const before = runs();
       await sleep(MEASURED_MS);
