--- a/packages/calls/src/quotaGate.ts
+++ b/packages/calls/src/quotaGate.ts
@@ -21,7 +21,7 @@
 export interface QuotaGateOptions {
   readonly clock: Clock;
   readonly journal: DecisionTrace;
-  readonly quotas: () => Pick<Quotas, 'take' | 'giveBack'>;
+  readonly quotas: () => Pick<Quotas, 'acquire' | 'refund'>;
   readonly counts: OrganisationCounts;
   /** Age of the freshness proof of the active configuration, ms. */
   readonly proofAgeMs: () => number;
