--- a/packages/bench/src/experiments/fleetRuns.ts
+++ b/packages/bench/src/experiments/fleetRuns.ts
@@ -69,8 +69,8 @@
 async function setDomainPartition(fleet: Fleet, domain: string, isPartitioned: boolean): Promise<void> {
   const inside = fleet.nodes.filter(node => node.failureDomain === domain);
   const outside = fleet.nodes.filter(node => node.failureDomain !== domain);
-  await Promise.all(inside.map(node => fleet.cut(node, isPartitioned ? outside : [])));
-  await Promise.all(outside.map(node => fleet.cut(node, isPartitioned ? inside : [])));
+  await Promise.all(inside.map(node => fleet.setPartition(node, isPartitioned ? outside : [])));
+  await Promise.all(outside.map(node => fleet.setPartition(node, isPartitioned ? inside : [])));
 }
 
 function mixOptions(fleet: Fleet, clock: Clock, seed: string, domain?: string) {
--- a/packages/bench/src/faultInjector.ts
+++ b/packages/bench/src/faultInjector.ts
@@ -106,10 +106,11 @@
 
   private async partition(node: FleetNode, bothWays: boolean): Promise<void> {
     const others = this.fleet.nodes.filter(other => other !== node && this.random() < 0.5);
-    await this.fleet.cut(node, others);
-    if (bothWays) await Promise.all(others.map(other => this.fleet.cut(other, [node])));
+    await this.fleet.setPartition(node, others);
+    if (bothWays) await Promise.all(others.map(other => this.fleet.setPartition(other, [node])));
     await this.clock.sleep(this.random() * MAX_FAULT_MS);
-    await this.fleet.cut(node, []);
-    if (bothWays) await Promise.all(others.map(other => this.fleet.cut(other, []).catch(() => undefined)));
+    await this.fleet.setPartition(node, []);
+    if (bothWays)
+      await Promise.all(others.map(other => this.fleet.setPartition(other, []).catch(() => undefined)));
   }
 }
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -196,7 +196,7 @@
    * Makes a daemon drop its traffic with the given daemons and with no others; an empty list ends the partition. Needs the
    * flag `--faultHooks`.
    */
-  async cut(node: FleetNode, from: readonly FleetNode[]): Promise<void> {
+  async setPartition(node: FleetNode, from: readonly FleetNode[]): Promise<void> {
     const addresses = from.flatMap(({ addresses: { inner, gossip } }) => [inner, gossip]);
     await post(`http://${node.addresses.operator}/faults`, { cut: addresses });
   }
--- a/packages/calls/src/crashDetector.ts
+++ b/packages/calls/src/crashDetector.ts
@@ -49,11 +49,11 @@
     start,
     address,
   }: Pick<LocalUpstream, 'start' | 'address'>): Promise<UpstreamCrash | undefined> {
-    const { clock, running, onCrash: onEnd } = this.options;
+    const { clock, running, onCrash } = this.options;
     const inFlight = running.requestsAt(start).slice(-MAX_REPORTED_REQUESTS);
     if (!(await refusesConnections(clock, address))) return undefined;
     const crash = { start, requests: inFlight.flatMap(suspectsOf) };
-    await onEnd(crash);
+    await onCrash(crash);
     return crash;
   }
 }
--- a/packages/calls/src/forwarder.ts
+++ b/packages/calls/src/forwarder.ts
@@ -91,7 +91,7 @@
     body: ReplayableBody,
     signal: CancelSignal,
   ): Promise<CallResponse> {
-    const { clock, router, retries, freeReroutes: freeMoves, journal, quarantine } = this.options;
+    const { clock, router, retries, freeReroutes, journal, quarantine } = this.options;
     const startedAt = clock.now();
     if (quarantine.loaded) await quarantine.loaded;
     const fingerprinted = new FingerprintedRequest(head, body);
@@ -103,7 +103,7 @@
     let tokens = context.retryTokens;
     let lastAttempt: FailedAttempt | undefined;
     let mayHaveRun = false;
-    let reroutesLeft = freeMoves;
+    let reroutesLeft = freeReroutes;
     let isRepeat = context.isRepeat;
     const refuse = (refusal: Refusal) =>
       singlePartResponse(refusalPart(withOutcomeOfAll(refusal, mayHaveRun), tokens, lastAttempt?.load));
--- a/packages/calls/src/ingress.ts
+++ b/packages/calls/src/ingress.ts
@@ -95,9 +95,9 @@
 
   /** A new request id, or undefined while there is no capacity to store its result. */
   issueId(): string | undefined {
-    const { deduplicator: home, ids, graph } = this.options;
+    const { deduplicator, ids, graph } = this.options;
     const lifetimeMs = graph()?.file.requestIdLifetimeMs;
-    return lifetimeMs !== undefined && home.hasCapacity ? ids.issue(lifetimeMs) : undefined;
+    return lifetimeMs !== undefined && deduplicator.hasCapacity ? ids.issue(lifetimeMs) : undefined;
   }
 
   /** Handles a request of a caller, or a call of the local upstream. */
@@ -161,9 +161,14 @@
     route: Route,
     parent: RunningCall | undefined,
   ): Principal | Refusal {
-    const { authenticator: senders, graph } = this.options;
+    const { authenticator, graph } = this.options;
     const isCall = parent !== undefined;
-    return senders.authenticate({ credentials, keyring: graph()?.keyring, isPublic: route.public, isCall });
+    return authenticator.authenticate({
+      credentials,
+      keyring: graph()?.keyring,
+      isPublic: route.public,
+      isCall,
+    });
   }
 
   /** Forwards the request within the quota of its organisation, if it has one. */
@@ -214,7 +219,7 @@
     body: ReplayableBody,
     signal: CancelSignal,
   ): AsyncGenerator<AnswerPart> {
-    const { clock, forwarder, deduplicator: home } = this.options;
+    const { clock, forwarder, deduplicator } = this.options;
     const remainingMs = Math.floor(parent.deadlineAt - clock.now());
     const context: CallContext = {
       ...parent.context,
@@ -235,7 +240,9 @@
     }
     await body.prefetch();
     const lifetimeMs = this.options.graph()?.file.requestIdLifetimeMs ?? 0;
-    yield* home.runOnce(context.requestId, lifetimeMs, context.remainingMs, signal, () => start(NEVER));
+    yield* deduplicator.runOnce(context.requestId, lifetimeMs, context.remainingMs, signal, () =>
+      start(NEVER),
+    );
   }
 
   /** Makes a call with all free retry tokens of its parent, and returns the unused ones to the parent. */
@@ -259,7 +266,7 @@
     body: ReplayableBody,
     signal: CancelSignal,
   ): AsyncGenerator<AnswerPart> {
-    const { ids, deduplicator: home, forwarder } = this.options;
+    const { ids, deduplicator, forwarder } = this.options;
     const lifetimeMs = this.options.graph()?.file.requestIdLifetimeMs ?? 0;
     if (route.idempotent) {
       const id = request.requestId ?? ids.issue(lifetimeMs);
@@ -274,7 +281,7 @@
       return;
     }
     await body.prefetch();
-    if (!home.hasCapacity && request.requestId === undefined) {
+    if (!deduplicator.hasCapacity && request.requestId === undefined) {
       yield refusalPart(
         this.withoutFalseNotRun(request, createRefusal('memoryFull', 'Too many request results are stored.')),
         0,
@@ -311,7 +318,7 @@
 
   /** Handles a request whose id this daemon issued: no other may start it. */
   private async *runAsHome(call: AuthorizedRequest): AsyncGenerator<AnswerPart> {
-    const { clock, deduplicator: home, epoch, forwarder } = this.options;
+    const { clock, deduplicator, epoch, forwarder } = this.options;
     const { requestId, remainingMs } = call.context;
     const id = parseRequestId(requestId);
     if (id?.epoch !== epoch()) {
@@ -322,7 +329,7 @@
       return;
     }
     const lifetimeMs = id.expiresAt - clock.now();
-    if (lifetimeMs <= 0 && !home.hasRecord(requestId)) {
+    if (lifetimeMs <= 0 && !deduplicator.hasRecord(requestId)) {
       yield refusalPart(createRefusal('requestIdExpired', 'The id has expired.'), 0);
       return;
     }
@@ -334,7 +341,7 @@
       this.forwardWithinQuota(organisation, context, c =>
         forwarder.forward(route, { ...head, context: c }, c, body, NEVER),
       );
-    yield* home.runOnce(requestId, Math.max(1, lifetimeMs), remainingMs, call.signal, start);
+    yield* deduplicator.runOnce(requestId, Math.max(1, lifetimeMs), remainingMs, call.signal, start);
   }
 
   private async *forwardToHome(call: AuthorizedRequest, home: string): AsyncGenerator<AnswerPart> {
--- a/packages/calls/src/peerServer.ts
+++ b/packages/calls/src/peerServer.ts
@@ -87,7 +87,7 @@
   }
 
   private serveLink(socket: Socket, first: Buffer): void {
-    const { exchange: handle, scheduler: scheduler, configuration, clock } = this.handlers;
+    const { exchange: handle, scheduler, configuration, clock } = this.handlers;
     const link = new LinkServer(socket, { clock, handle, scheduler, configuration });
     this.links.set(socket, link);
     socket.once('close', () => this.links.delete(socket));
--- a/packages/calls/src/upstreamDispatcher.ts
+++ b/packages/calls/src/upstreamDispatcher.ts
@@ -184,19 +184,19 @@
     upstream: LocalUpstream,
     signal: CancelSignal,
   ): Promise<Permit | Refusal> {
-    const { attempts: tries, journal } = this.options;
+    const { attempts, journal } = this.options;
     const { requestId } = context;
-    const barredRefusal = route.idempotent ? undefined : tries.register(requestId, context.try);
+    const barredRefusal = route.idempotent ? undefined : attempts.register(requestId, context.try);
     if (barredRefusal) return barredRefusal;
     const ownLevel = requestLevel(context.class, context.rootId);
     const level = context.depth > 0 ? ownLevel : upstream.costs.queueLevel(route.name, ownLevel);
     const permit = await upstream.admission.request(level, context.remainingMs, signal);
     if ('release' in permit) {
-      if (route.idempotent || tries.markDispatched(requestId)) return permit;
+      if (route.idempotent || attempts.markDispatched(requestId)) return permit;
       permit.release('failed');
       return createRefusal('sealed', 'The sender sealed this attempt.');
     }
-    if (!route.idempotent) tries.markRefused(requestId);
+    if (!route.idempotent) attempts.markRefused(requestId);
     const { inFlight, queued, limit, admissionLevel } = upstream.admission.load();
     const { perSecond } = upstream.admission.rate;
     const facts = {
@@ -283,13 +283,13 @@
     call: RunningCall,
     upstreamResponse: UpstreamResponse,
   ): CallResponse {
-    const { attempts: tries, dialect } = this.options;
+    const { attempts, dialect } = this.options;
     const { context, route, upstream, permit } = admitted;
     const meaning = dialect.meaningOf(upstreamResponse.status, upstreamResponse.headers);
     if (meaning === 'other-instance') upstream.onReplaced();
     if (meaning !== 'answer') {
       permit.release('shed');
-      if (!route.idempotent) tries.markNotDispatched(context.requestId);
+      if (!route.idempotent) attempts.markNotDispatched(context.requestId);
       const shed = createRefusal('shedByUpstream', 'The upstream did not run the request.', SHED_DETAILS);
       return singlePartResponse(refusalPart(shed, call.retryTokens, this.load(upstream, route, context)));
     }
@@ -312,7 +312,7 @@
       return { load: this.load(upstream, route, context), unusedRetryTokens: call.retryTokens };
     });
     if (!route.idempotent && !response.rest)
-      tries.markEnded(context.requestId, { head: responseHead, body: response.first.body });
+      attempts.markEnded(context.requestId, { head: responseHead, body: response.first.body });
     return response;
   }
 
--- a/packages/configuration/src/configurationDistribution.ts
+++ b/packages/configuration/src/configurationDistribution.ts
@@ -74,7 +74,7 @@
 
   /** Handles a peer's announcement of its configuration. */
   handleAnnouncement({ generation, shortDigest }: AnnouncedConfiguration, peer: string): void {
-    const { configuration, onDigestMismatch: onDoubt } = this.options;
+    const { configuration, onDigestMismatch } = this.options;
     const isOther = generation === configuration.generation && shortDigest !== configuration.shortDigest;
     if (
       isOther &&
@@ -83,7 +83,7 @@
       this.mismatchedGeneration !== generation
     ) {
       this.mismatchedGeneration = generation;
-      onDoubt(peer);
+      onDigestMismatch(peer);
     }
     if (generation <= configuration.generation) return;
     this.generationsByPeer.set(peer, generation);
@@ -148,9 +148,9 @@
 
   /** Asks only peers that have announced the missing version, or may have it: right after a change few daemons have it. */
   private async fetchUntilCaughtUp(first: string): Promise<void> {
-    const { clock, fetchDelayMs: patienceMs } = this.options;
+    const { clock, fetchDelayMs } = this.options;
     const { signal } = this.stopped;
-    await clock.sleep(patienceMs(first), signal);
+    await clock.sleep(fetchDelayMs(first), signal);
     const asked = new Set<string>();
     for (
       let candidates = this.peersAhead();
--- a/packages/configuration/src/configurationWatcher.ts
+++ b/packages/configuration/src/configurationWatcher.ts
@@ -105,16 +105,16 @@
   }
 
   private async waitForInterval(begunAt: number, signal: AbortSignal): Promise<void> {
-    const { clock, readIntervalMs: paceMs } = this.options;
-    const leftMs = begunAt + (paceMs() ?? 0) - clock.now();
+    const { clock, readIntervalMs } = this.options;
+    const leftMs = begunAt + (readIntervalMs() ?? 0) - clock.now();
     if (leftMs > 0) await clock.sleep(leftMs, signal);
   }
 
   /** A daemon without a configuration always reads the source itself. */
   private mayCallSource(): boolean {
-    const { clock, configuration, mustReadPlatform: isOnDuty } = this.options;
+    const { clock, configuration, mustReadPlatform } = this.options;
     const { generation, isConfirmed } = configuration;
-    if (generation === 0 || isOnDuty() || (generation === this.mismatchedGeneration && !isConfirmed))
+    if (generation === 0 || mustReadPlatform() || (generation === this.mismatchedGeneration && !isConfirmed))
       return true;
     return clock.now() - this.checkedAt > (this.isUnreachable ? UNREACHABLE_READ_MS : FALLBACK_READ_MS);
   }
@@ -141,9 +141,9 @@
   }
 
   private callSource(signal: AbortSignal): Promise<SourcedVersion | undefined> {
-    const { source, waitMs, readIntervalMs: paceMs } = this.options;
+    const { source, waitMs, readIntervalMs } = this.options;
     if (this.nextCall === 'read') return source.read(signal);
-    const isPaced = paceMs() !== undefined;
+    const isPaced = readIntervalMs() !== undefined;
     return source.next(isPaced ? 0 : waitMs(this.nextCall === 'wait-after-version'), signal);
   }
 
--- a/packages/daemon/src/createFleetQuotas.ts
+++ b/packages/daemon/src/createFleetQuotas.ts
@@ -22,7 +22,7 @@
 
 /** Creates quotas that exchange their messages in membership datagrams. */
 export function createFleetQuotas(options: FleetQuotasOptions): Quotas {
-  const { failureDomain, division, clock, random, membership, hasFleetView: knowsFleet } = options;
+  const { failureDomain, division, clock, random, membership, hasFleetView } = options;
   const monotonicTime = new ElapsedTime(clock);
   return new Quotas({
     clock,
@@ -34,7 +34,7 @@
     failureDomain,
     members: () => [...membership.table.all()].filter(({ state }) => state === 'ALIVE'),
     shareCount: () =>
-      knowsFleet() ? membership.countRecentlyUp(failureDomain, PARTITION_GRACE_MS) : undefined,
+      hasFleetView() ? membership.countRecentlyUp(failureDomain, PARTITION_GRACE_MS) : undefined,
     sendRequest: (to, question) => membership.sendQuotaRequest(to, question),
     sendResponse: (to, answer) => membership.sendQuotaResponse(to, answer),
   });
--- a/packages/daemon/src/daemonCore.ts
+++ b/packages/daemon/src/daemonCore.ts
@@ -146,7 +146,7 @@
       random,
       datagrams,
       seeds: settings.seeds,
-      isPartitioned: isPartitioned,
+      isPartitioned,
       self: {
         address: self,
         gossipAddress: datagrams.address,
--- a/packages/daemon/src/relayGateway.ts
+++ b/packages/daemon/src/relayGateway.ts
@@ -65,8 +65,8 @@
   private hasEverNeededKeys = false;
 
   constructor(private readonly options: RelayGatewayOptions) {
-    const { consumedHeaders: consumed, credentialsHeader: credentials } = options.dialect;
-    this.consumedWithKeys = new Set([...consumed, credentials]);
+    const { consumedHeaders, credentialsHeader } = options.dialect;
+    this.consumedWithKeys = new Set([...consumedHeaders, credentialsHeader]);
     this.server = createServer(
       { maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 },
       (request, response) => {
--- a/packages/daemon/src/restoreUpstreams.ts
+++ b/packages/daemon/src/restoreUpstreams.ts
@@ -38,12 +38,12 @@
 }
 
 async function restoreUpstream(upstream: KnownUpstream, options: RestoreUpstreamsOptions): Promise<void> {
-  const { hasAnnounced: isKnown, announce, markLeaving: leave, log } = options;
+  const { hasAnnounced, announce, markLeaving, log } = options;
   const facts = { service: upstream.service, instance: upstream.instanceId };
   try {
     const state = await checkState(upstream, options);
-    if (state === 'leaving') await leave(upstream);
-    if (isKnown(upstream.service)) return;
+    if (state === 'leaving') await markLeaving(upstream);
+    if (hasAnnounced(upstream.service)) return;
     log(STATE_MESSAGES[state], facts);
     if (state === 'running') await announce({ ...upstream, state: 'ready', sequence: 0, warmupLeftMs: 0 });
   } catch (error) {
@@ -61,12 +61,12 @@
 
 async function checkState(
   { service, address, instanceId }: KnownUpstream,
-  { clock, heartbeatMs, dialect, healthPath, hasAnnounced: isKnown }: RestoreUpstreamsOptions,
+  { clock, heartbeatMs, dialect, healthPath, hasAnnounced }: RestoreUpstreamsOptions,
 ): Promise<RecordedUpstreamState> {
   const end = clock.now() + heartbeatMs;
   while (healthPath(service) === undefined && clock.now() < end) await clock.sleep(CONFIGURATION_POLL_MS);
   const path = healthPath(service);
-  if (path === undefined || isKnown(service)) return 'gone';
+  if (path === undefined || hasAnnounced(service)) return 'gone';
   const { isHealthy, headers } = await checkHealth(address, path);
   if (dialect.instanceOf(headers) !== instanceId) return 'gone';
   if (dialect.noticeOf(headers).isLeaving) return 'leaving';
--- a/packages/membership/src/peerDiscovery.ts
+++ b/packages/membership/src/peerDiscovery.ts
@@ -164,10 +164,10 @@
 
   /** A daemon that has its row and knows other members does not poll faster during an outage of the table. */
   private intervalMs(): number {
-    const { membership, maintainsTable: isTender } = this.options;
+    const { membership, maintainsTable } = this.options;
     if (this.mustWrite) return RETRY_DELAY_MS;
     if (membership.aliveCount() === 0) return ALONE_INTERVAL_MS;
-    return isTender() ? MAINTENANCE_INTERVAL_MS : OWN_ROW_INTERVAL_MS;
+    return maintainsTable() ? MAINTENANCE_INTERVAL_MS : OWN_ROW_INTERVAL_MS;
   }
 
   /** The own row is written before the list is read, so that of two daemons that start at the same time at least one sees the other. */
@@ -195,15 +195,15 @@
 
   /** Creates the row only if it is absent, so as not to lose what an earlier process of this daemon recorded. */
   private async create(signal: AbortSignal): Promise<void> {
-    const { table, onRestore: onFormer, membership } = this.options;
+    const { table, onRestore, membership } = this.options;
     const { changes } = this;
     const created = await table.create(this.row(), signal);
-    const { isDone, recorded: former } = created;
+    const { isDone, recorded } = created;
     if (isDone) this.writtenChanges = changes;
-    if (former) onFormer(former);
+    if (recorded) onRestore(recorded);
     this.hasCreated = true;
     this.version = created.version;
-    this.hasRow = isDone || former?.gossipAddress === membership.me.gossipAddress;
+    this.hasRow = isDone || recorded?.gossipAddress === membership.me.gossipAddress;
   }
 
   private get mustWrite(): boolean {
--- a/tests/configurationContent.spec.ts
+++ b/tests/configurationContent.spec.ts
@@ -145,8 +145,8 @@
   const daemons = Array.from({ length: DAEMONS }, newDaemon);
   for (const taken of steps) {
     take(taken, daemons, written);
-    for (const { generation, active: inForce } of daemons) {
-      if (generation > 0) expect(inForce).to.deep.equal(written[generation - 1]);
+    for (const { generation, active } of daemons) {
+      if (generation > 0) expect(active).to.deep.equal(written[generation - 1]);
     }
   }
 }
--- a/tests/upstreamNotices.spec.ts
+++ b/tests/upstreamNotices.spec.ts
@@ -70,9 +70,9 @@
       await sleep(EFFECTIVE_AFTER_MS);
       const before = runs();
       for (let i = 0; i < PARTITIONS; i++) {
-        await fleet.cut(ingress, [reporting]);
+        await fleet.setPartition(ingress, [reporting]);
         await sleep(PARTITION_MS);
-        await fleet.cut(ingress, []);
+        await fleet.setPartition(ingress, []);
         await sleep(PARTITION_MS);
       }
       expect(runs() - before).to.be.within(1, (5 * (2 * PARTITIONS * PARTITION_MS + 500)) / 1000 + 2);
