--- a/packages/calls/src/attemptRegistry.ts
+++ b/packages/calls/src/attemptRegistry.ts
@@ -1,6 +1,6 @@
 /**
- * The state of non-idempotent attempts at this daemon. It lets the daemon report how an attempt went to a sender that lost
- * the connection, and seal an attempt: bar it from dispatch for good.
+ * The state of non-idempotent attempts at this daemon. It lets the daemon report the outcome of an attempt to a sender that
+ * lost the connection, and seal an attempt: bar it from dispatch for good.
  */
 import { Cancellation, type Clock, NO_LONGER_NEEDED } from '@cleatquay/clock';
 import { type Refusal, type SealAnswer, type SealRequest, createRefusal } from '@cleatquay/protocol';
@@ -117,6 +117,7 @@
 function toSealAnswer({ state, response }: AttemptRecord): SealAnswer {
   if (response) return { state: 'ANSWERED', head: response.head, body: response.body };
   const states = { dispatched: 'RUNNING', answered: 'LOST', lost: 'LOST' } as const;
-  const known = state === 'dispatched' || state === 'answered' || state === 'lost' ? states[state] : 'SEALED';
-  return { state: known, head: undefined, body: EMPTY_BODY };
+  const sealState =
+    state === 'dispatched' || state === 'answered' || state === 'lost' ? states[state] : 'SEALED';
+  return { state: sealState, head: undefined, body: EMPTY_BODY };
 }
--- a/packages/calls/src/authenticator.ts
+++ b/packages/calls/src/authenticator.ts
@@ -36,7 +36,8 @@
   constructor(private readonly options: AuthenticatorOptions) {}
 
   /**
-   * A call of an upstream bears no key, since it is part of a request that did. A key that is presented has to be valid, even where none is needed.
+   * A call of an upstream needs no key: that of the request that makes it was checked already. A key that is presented has to be valid, even where none
+   * is needed.
    *
    * Revocations are checked once, at the ingress: the request was sent before that, so that it is within the bound for revocations however long it
    * waits afterwards. While revocations are not known to be current, an unknown key may be a new one, so that it is not refused as unknown.
--- a/packages/calls/src/forwarder.ts
+++ b/packages/calls/src/forwarder.ts
@@ -99,19 +99,19 @@
     retries.countRequest(route.service, context.isRepeat);
     const level = requestLevel(context.class, context.rootId);
     const levelToSend = forwardingLevel(level, context.depth);
-    const tried = new Set<string>();
+    const attemptedAddresses = new Set<string>();
     let tokens = context.retryTokens;
     let lastAttempt: FailedAttempt | undefined;
     let mayHaveRun = false;
     let reroutesLeft = freeReroutes;
     let isRepeat = context.isRepeat;
     const refuse = (refusal: Refusal) =>
-      singlePartResponse(refusalPart(withOutcomeOfAll(refusal, mayHaveRun), tokens, lastAttempt?.load));
+      singlePartResponse(refusalPart(withOverallOutcome(refusal, mayHaveRun), tokens, lastAttempt?.load));
     for (let attemptNumber = context.try; ; attemptNumber++) {
-      const held = this.refusalIfQuarantined(context.requestId, fingerprinted);
-      if (held) return refuse(lastAttempt?.refusal ?? held);
+      const quarantined = this.refusalIfQuarantined(context.requestId, fingerprinted);
+      if (quarantined) return refuse(lastAttempt?.refusal ?? quarantined);
       const remainingMs = Math.floor(context.remainingMs - (clock.now() - startedAt));
-      const selection = router.choose(route.service, route.name, level, tried, levelToSend);
+      const selection = router.choose(route.service, route.name, level, attemptedAddresses, levelToSend);
       if (selection.kind !== 'chosen' || remainingMs <= 0)
         return refuse(lastAttempt?.refusal ?? this.noUpstreamRefusal(selection.kind, remainingMs));
       const { candidate } = selection;
@@ -159,7 +159,7 @@
       });
       if (lastAttempt.refusal.endedStart !== '')
         quarantine.recordRemoteCrash(fingerprinted.suspect, lastAttempt.refusal.endedStart);
-      tried.add(candidate.address);
+      attemptedAddresses.add(candidate.address);
       if (signal.aborted || !body.isReplayable) return refuse(lastAttempt.refusal);
       const { refusal } = lastAttempt;
       const retryContext = { refusal, idempotent: route.idempotent, tokens, reroutes: reroutesLeft };
@@ -187,11 +187,11 @@
   private async attempt(attempt: Attempt): Promise<CallResponse | FailedAttempt> {
     const { router, peers, self, local, retries } = this.options;
     const { candidate, head, body } = attempt;
-    const ended = router.trackCall(candidate.address);
+    const recordEnd = router.trackCall(candidate.address);
     const timeLimit = this.limitTime(attempt);
     const finish = (result: CallResult) => {
       timeLimit[Symbol.dispose]();
-      ended(result);
+      recordEnd(result);
       if (result === 'answered') attempt.fingerprinted.recordResponse(this.options.quarantine);
     };
     try {
@@ -217,7 +217,7 @@
           wasSent: !error.neverSent,
         },
       );
-      return this.afterLostContact(attempt, error);
+      return this.afterConnectionLoss(attempt, error);
     }
   }
 
@@ -245,8 +245,11 @@
     return singlePartResponse({ ...first, unusedRetryTokens: retainedTokens + unusedRetryTokens });
   }
 
-  /** After a lost connection, an idempotent call may be retried elsewhere; any other attempt is sealed, or its response fetched. */
-  private async afterLostContact(
+  /**
+   * After a lost connection, a call that was never sent or is idempotent may be retried elsewhere. Any other attempt is sealed, or its response
+   * fetched.
+   */
+  private async afterConnectionLoss(
     attempt: Attempt,
     error: ConnectionLoss,
   ): Promise<CallResponse | FailedAttempt> {
@@ -282,9 +285,9 @@
   /** Sends seal requests until one has a definite response or the signal aborts. */
   private async seal(attempt: Attempt, signal: CancelSignal): Promise<SealAnswer | undefined> {
     const { peers, clock, journal } = this.options;
-    const { requestId, try: number, targetEpoch } = attempt.context;
+    const { requestId, try: attemptNumber, targetEpoch } = attempt.context;
     while (!signal.aborted) {
-      const request = { requestId, try: number, targetEpoch, waitMs: SEAL_TIMEOUT_MS / 2 };
+      const request = { requestId, try: attemptNumber, targetEpoch, waitMs: SEAL_TIMEOUT_MS / 2 };
       const response = await peers
         .seal(attempt.candidate.address, request, SEAL_TIMEOUT_MS)
         .catch(() => undefined);
@@ -296,7 +299,10 @@
     return undefined;
   }
 
-  /** Cancels the attempt at its deadline; a non-idempotent one later by the grace period, so that its outcome can be determined. */
+  /**
+   * Cancels the attempt at its deadline, unless the signal enforces that already; a non-idempotent one later by the grace period, so that its
+   * outcome can be determined.
+   */
   private limitTime({ route, context, signal }: Attempt) {
     if (this.options.signalsEnforceDeadline) return { signal, [Symbol.dispose]: NOTHING_TO_DISPOSE };
     const controller = new Cancellation();
@@ -362,12 +368,12 @@
   return { refusal, unusedRetryTokens: 0, load: undefined };
 }
 
-/** Calls made earlier for the request, whose work is lost if this call fails; a request of the highest priority counts as one more. */
+/** Calls made earlier for the request, whose work is lost if this call fails; a request of the top class counts as one more. */
 function callsAtRisk({ class: rank, callsBefore: calls }: CallContext): number {
   return rank === 0 ? calls + 1 : calls;
 }
 
 /** The outcome over all attempts: a last attempt that did not run does not show that earlier ones did not. */
-function withOutcomeOfAll(refusal: Refusal, mayHaveRun: boolean): Refusal {
+function withOverallOutcome(refusal: Refusal, mayHaveRun: boolean): Refusal {
   return mayHaveRun && refusal.outcome === 'not-run' ? { ...refusal, outcome: 'unknown' } : refusal;
 }
--- a/packages/calls/src/headers.ts
+++ b/packages/calls/src/headers.ts
@@ -2,7 +2,7 @@
 
 /** Headers that are defined by cleatquay, or have a meaning for it. */
 export const headerNames = {
-  /** On requests of callers: the id of the request that is sent again, if it has one; elsewhere: the id of the request. */
+  /** On requests of callers: the id that a daemon issued for it, if it is sent again or its id was issued in advance; elsewhere: the id of the request. */
   requestId: 'cleatquay-request-id',
   /** From an upstream, on calls that it makes: the id of the request that it is processing. */
   parent: 'cleatquay-parent',
--- a/packages/calls/src/idempotencyKeys.ts
+++ b/packages/calls/src/idempotencyKeys.ts
@@ -13,7 +13,7 @@
     private readonly table: Table | undefined,
   ) {}
 
-  /** The request id that the key is bound to, for good; undefined when the platform does not respond. */
+  /** The request id that the key is bound to, for good; undefined without a table, or when the platform does not respond. */
   async bind(service: string, key: string, freshId: string): Promise<string | undefined> {
     if (!this.table) return undefined;
     const row = `claim-${createHash('sha256').update(`${service}\n${key}`).digest('base64url')}`;
--- a/packages/calls/src/ingress.ts
+++ b/packages/calls/src/ingress.ts
@@ -57,7 +57,7 @@
   /** The credentials of the caller, where requests need keys. */
   readonly credentials: Credentials;
   readonly timeoutMs: number | undefined;
-  /** Called with the id that the request was given. */
+  /** Called with the id that the request has or was issued. */
   readonly onRequestId?: (requestId: string) => void;
 }
 
@@ -80,8 +80,8 @@
   readonly quotaGate: QuotaGate;
 }
 
-/** A request that has passed validation and authentication. */
-interface AuthorizedRequest {
+/** A validated request; its organisation was authenticated at the ingress daemon. */
+interface AuthenticatedRequest {
   readonly route: Route;
   readonly head: RequestHead;
   readonly context: CallContext;
@@ -107,31 +107,34 @@
     const refusal = this.refusalFor(request, route, parent);
     if (refusal || !route) {
       yield refusalPart(
-        this.withoutFalseNotRun(request, refusal ?? createRefusal('routeUnknown', 'Unknown route.')),
+        this.withOutcomeOfEarlierAttempts(
+          request,
+          refusal ?? createRefusal('routeUnknown', 'Unknown route.'),
+        ),
         0,
       );
       return;
     }
-    const sender = this.authenticate(request, route, parent);
-    if ('code' in sender) {
-      yield refusalPart(this.withoutFalseNotRun(request, sender), 0);
+    const principal = this.authenticate(request, route, parent);
+    if ('code' in principal) {
+      yield refusalPart(this.withOutcomeOfEarlierAttempts(request, principal), 0);
       return;
     }
     const body = new ReplayableBody(source);
     if (parent) yield* this.handleCall(request, route, parent, body, signal);
-    else yield* this.handleRootRequest(request, route, sender.organisation, body, signal);
+    else yield* this.handleRootRequest(request, route, principal.organisation, body, signal);
   }
 
-  /** Handles a resend that a peer forwarded to the home daemon of its id. */
+  /** Handles a request that a peer forwarded to the home daemon of its id: one sent again, or one whose id was issued in advance. */
   async handleAsHome(head: RequestHead, source: CallBody, signal: CancelSignal): Promise<CallResponse> {
-    const parts = this.resendParts(head, source, signal);
+    const parts = this.partsAsHome(head, source, signal);
     const first = await parts.next();
     if (first.done === true)
       return singlePartResponse(refusalPart(createRefusal('contactLost', 'No response was received.'), 0));
     return { first: first.value, rest: isFinalPart(first.value) ? undefined : parts };
   }
 
-  private async *resendParts(
+  private async *partsAsHome(
     head: RequestHead,
     source: CallBody,
     signal: CancelSignal,
@@ -207,7 +210,7 @@
   }
 
   /** A request that may have been sent before may have run then: a refusal of this attempt does not show that it has not run. */
-  private withoutFalseNotRun(request: CallerRequest, refusal: Refusal): Refusal {
+  private withOutcomeOfEarlierAttempts(request: CallerRequest, refusal: Refusal): Refusal {
     const isFirst = request.requestId === undefined && request.idempotencyKey === undefined;
     return isFirst || refusal.outcome !== 'not-run' ? refusal : { ...refusal, outcome: 'unknown' };
   }
@@ -232,8 +235,10 @@
       route: route.name,
       idempotent: route.idempotent,
     };
-    const start = (until: CancelSignal) =>
-      this.withTokensOf(parent, context, c => forwarder.forward(route, headOf(request, c), c, body, until));
+    const start = (callSignal: CancelSignal) =>
+      this.withTokensOf(parent, context, c =>
+        forwarder.forward(route, headOf(request, c), c, body, callSignal),
+      );
     if (route.idempotent) {
       yield* responseParts(start(Cancellation.any([signal, parent.signal], CALLER_DISCONNECTED)));
       return;
@@ -256,7 +261,7 @@
     };
     const { first, rest } = await call({ ...context, retryTokens: parent.takeTokens() });
     reclaim(first);
-    return { first, rest: rest && observed(rest, reclaim) };
+    return { first, rest: rest && observeParts(rest, reclaim) };
   }
 
   private async *handleRootRequest(
@@ -276,14 +281,19 @@
         forwarder.forward(route, headOf(request, c), c, body, signal),
       );
       for await (const part of responseParts(response)) {
-        yield part.refusal ? { ...part, refusal: this.withoutFalseNotRun(request, part.refusal) } : part;
+        yield part.refusal
+          ? { ...part, refusal: this.withOutcomeOfEarlierAttempts(request, part.refusal) }
+          : part;
       }
       return;
     }
     await body.prefetch();
     if (!deduplicator.hasCapacity && request.requestId === undefined) {
       yield refusalPart(
-        this.withoutFalseNotRun(request, createRefusal('memoryFull', 'Too many request results are stored.')),
+        this.withOutcomeOfEarlierAttempts(
+          request,
+          createRefusal('memoryFull', 'Too many request results are stored.'),
+        ),
         0,
       );
       return;
@@ -304,12 +314,12 @@
     yield* this.handleWithId({ route, head: headOf(request, context), context, body, signal });
   }
 
-  private async requestIdFor(request: CallerRequest, fresh: string): Promise<string | undefined> {
-    if (request.idempotencyKey === undefined) return fresh;
-    return this.options.idempotencyKeys.bind(request.service, request.idempotencyKey, fresh);
+  private async requestIdFor(request: CallerRequest, newId: string): Promise<string | undefined> {
+    if (request.idempotencyKey === undefined) return newId;
+    return this.options.idempotencyKeys.bind(request.service, request.idempotencyKey, newId);
   }
 
-  private async *handleWithId(call: AuthorizedRequest): AsyncGenerator<AnswerPart> {
+  private async *handleWithId(call: AuthenticatedRequest): AsyncGenerator<AnswerPart> {
     const id = parseRequestId(call.context.requestId);
     if (!id) yield refusalPart(createRefusal('requestIdInvalid', 'Expected an id that a daemon issued.'), 0);
     else if (id.home === this.options.self) yield* this.runAsHome(call);
@@ -317,7 +327,7 @@
   }
 
   /** Handles a request whose id this daemon issued: no other may start it. */
-  private async *runAsHome(call: AuthorizedRequest): AsyncGenerator<AnswerPart> {
+  private async *runAsHome(call: AuthenticatedRequest): AsyncGenerator<AnswerPart> {
     const { clock, deduplicator, epoch, forwarder } = this.options;
     const { requestId, remainingMs } = call.context;
     const id = parseRequestId(requestId);
@@ -344,7 +354,7 @@
     yield* deduplicator.runOnce(requestId, Math.max(1, lifetimeMs), remainingMs, call.signal, start);
   }
 
-  private async *forwardToHome(call: AuthorizedRequest, home: string): AsyncGenerator<AnswerPart> {
+  private async *forwardToHome(call: AuthenticatedRequest, home: string): AsyncGenerator<AnswerPart> {
     const context = { ...call.context, toHome: true };
     try {
       const head = { ...call.head, context };
@@ -359,10 +369,10 @@
     }
   }
 
-  /** The home daemon can't report the result, so that the daemons of the service are queried, one of which may have stored the response. */
-  private async *searchResponse(call: AuthorizedRequest, fallback: Refusal): AsyncGenerator<AnswerPart> {
+  /** Queries the daemons of the service, one of which may have stored the response: the home daemon can't report the result. */
+  private async *searchResponse(call: AuthenticatedRequest, fallback: Refusal): AsyncGenerator<AnswerPart> {
     const { clock, directory, peers } = this.options;
-    const end = clock.now() + call.context.remainingMs;
+    const deadlineAt = clock.now() + call.context.remainingMs;
     const request = {
       requestId: call.context.requestId,
       try: 0,
@@ -381,7 +391,7 @@
       }
       if (!responses.some(response => response?.state === 'RUNNING')) break;
       await clock.sleep(SEARCH_RETRY_DELAY_MS, call.signal);
-    } while (clock.now() < end && !call.signal.aborted);
+    } while (clock.now() < deadlineAt && !call.signal.aborted);
     yield refusalPart(fallback, 0);
   }
 
@@ -415,7 +425,7 @@
 /** A non-idempotent request that was started runs to its end, even if the caller disconnects. */
 const NEVER = NEVER_CANCELLED;
 
-async function* observed(
+async function* observeParts(
   parts: AsyncIterable<AnswerPart>,
   onPart: (part: AnswerPart) => void,
 ): AsyncGenerator<AnswerPart> {
--- a/packages/calls/src/localUpstream.ts
+++ b/packages/calls/src/localUpstream.ts
@@ -22,6 +22,6 @@
   readonly onReplaced: () => void;
   /** Its latest notice for other daemons; usually undefined. */
   readonly notice: UpstreamNotice | undefined;
-  /** Takes the notice in one of its responses. `sentAt` is when the request was sent to it, by the clock's `awake`, ms. */
+  /** Applies the notice in one of its responses. `sentAt` is when the request was sent to it, by the clock's `awake`, ms. */
   readonly onNotice: (notice: ResponseNotice, sentAt: number) => void;
 }
--- a/packages/calls/src/relay.ts
+++ b/packages/calls/src/relay.ts
@@ -85,14 +85,14 @@
     const { credentials } = request;
     const { keyring } = routes;
     const { isPublic } = route;
-    const sender = this.options.authenticator.authenticate({
+    const principal = this.options.authenticator.authenticate({
       credentials,
       keyring,
       isPublic,
       isCall: parent !== undefined,
     });
-    if ('code' in sender) return this.refuseUnauthenticated(request, sender);
-    const { organisation } = sender;
+    if ('code' in principal) return this.refuseUnauthenticated(request, principal);
+    const { organisation } = principal;
     const rank = routes.rankOf(route, organisation);
     const context = this.context(request, { ...route, rank }, parent, organisation);
     const isRefused =
--- a/packages/calls/src/replayableBody.ts
+++ b/packages/calls/src/replayableBody.ts
@@ -7,52 +7,52 @@
 export class ReplayableBody {
   private readonly buffered: Uint8Array[] = [];
   private bufferedBytes = 0;
-  private ended = false;
-  private streaming = false;
+  private isEnded = false;
+  private isStreaming = false;
   private readonly source: AsyncIterator<Uint8Array> | undefined;
-  private whole: Buffer | undefined;
+  private completeBytes: Buffer | undefined;
 
   constructor(source: CallBody) {
-    if (Buffer.isBuffer(source)) this.whole = source;
+    if (Buffer.isBuffer(source)) this.completeBytes = source;
     else this.source = source[Symbol.asyncIterator]();
   }
 
-  /** Whether the complete body can be sent again. */
+  /** Whether the body can still be read from its beginning: a streamed one can't once its stream has started. */
   get isReplayable(): boolean {
-    return !this.streaming;
+    return !this.isStreaming;
   }
 
   /** The complete body if it has been received already; most bodies are empty and need no waiting. */
   get completeBody(): Buffer | undefined {
-    return this.whole;
+    return this.completeBytes;
   }
 
   /** The complete body, or the buffered beginning of one that is streamed. */
   get bufferedStart(): Buffer {
-    return this.whole ?? Buffer.concat(this.buffered);
+    return this.completeBytes ?? Buffer.concat(this.buffered);
   }
 
   /** Buffers the body up to the limit. */
   async prefetch(): Promise<void> {
-    if (!this.source || this.whole) return;
-    while (!this.ended && this.bufferedBytes < MAX_REPLAYABLE_BYTES) {
+    if (!this.source || this.completeBytes) return;
+    while (!this.isEnded && this.bufferedBytes < MAX_REPLAYABLE_BYTES) {
       const { value, done } = await this.source.next();
-      if (done === true) this.ended = true;
+      if (done === true) this.isEnded = true;
       else this.buffer(value);
     }
-    if (this.ended) this.whole = Buffer.concat(this.buffered);
+    if (this.isEnded) this.completeBytes = Buffer.concat(this.buffered);
   }
 
   /** The complete body, from its beginning. */
   async read(): Promise<CallBody> {
     await this.prefetch();
-    return this.whole ?? this.stream();
+    return this.completeBytes ?? this.stream();
   }
 
   private async *stream(): AsyncIterable<Uint8Array> {
-    if (this.streaming || !this.source)
+    if (this.isStreaming || !this.source)
       throw new Error('The body has already been streamed and cannot be read again.');
-    this.streaming = true;
+    this.isStreaming = true;
     yield* this.buffered;
     for (let next = await this.source.next(); next.done !== true; next = await this.source.next())
       yield next.value;
--- a/packages/calls/src/runningCalls.ts
+++ b/packages/calls/src/runningCalls.ts
@@ -14,7 +14,7 @@
 
 /** A request that was dispatched to the local upstream and has not ended. */
 export class RunningCall {
-  /** Retry tokens that are currently not lent to a child call. */
+  /** Retry tokens that no child call holds at the moment. */
   retryTokens: number;
   private childCalls = 0;
 
@@ -46,7 +46,7 @@
     );
   }
 
-  /** Whether it has made calls, as far as this daemon has observed. */
+  /** Whether calls of it have been counted. Calls that its upstream identifies by a call key are not counted. */
   get hasMadeCalls(): boolean {
     return this.childCalls > 0;
   }
@@ -56,7 +56,7 @@
     return this.context.callsBefore + this.childCalls++;
   }
 
-  /** The id of a child call. The same key gives the same id, so that a repeated call is recognised. */
+  /** The id of a child call. The same key gives the same id, so that a retried call is recognised. */
   childId(key: string | undefined): string {
     return `${this.context.requestId}/${key ?? `n${String(++this.childCalls)}`}`;
   }
--- a/packages/calls/src/upstreamConnections.ts
+++ b/packages/calls/src/upstreamConnections.ts
@@ -214,8 +214,8 @@
         ? this.startChunks[0]
         : Buffer.concat(this.startChunks);
     this.startChunks = [];
-    const isUnframed = this.errorsAtHead !== undefined;
-    return { status: this.status, headers: this.headers, start, rest, isCloseDelimited: isUnframed };
+    const isDelimitedByClose = this.errorsAtHead !== undefined;
+    return { status: this.status, headers: this.headers, start, rest, isCloseDelimited: isDelimitedByClose };
   }
 
   private async *readRest(rest: AsyncQueue<Buffer | 'end'>): AsyncGenerator<Buffer> {
@@ -230,6 +230,6 @@
 }
 
 function isCloseDelimited(method: string, status: number, headers: IncomingHttpHeaders): boolean {
-  const isFramed = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
-  return !isFramed && method !== 'HEAD' && !BODYLESS_STATUSES.includes(status);
+  const hasDelimiter = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
+  return !hasDelimiter && method !== 'HEAD' && !BODYLESS_STATUSES.includes(status);
 }
--- a/packages/calls/src/upstreamDialect.ts
+++ b/packages/calls/src/upstreamDialect.ts
@@ -25,7 +25,7 @@
   readonly noticeOf: (headers: IncomingHttpHeaders) => ResponseNotice;
 }
 
-const SHED_STATUSES = [429, 503];
+const OVERLOAD_STATUSES = [429, 503];
 
 /** The dialect of cleatquay's own headers. */
 export const defaultDialect: UpstreamDialect = {
@@ -40,6 +40,6 @@
   isOwnResponse: () => true,
   instanceOf: () => undefined,
   meaningOf: (status, headers) =>
-    SHED_STATUSES.includes(status) && headers[headerNames.notRun] !== undefined ? 'not-run' : 'answer',
+    OVERLOAD_STATUSES.includes(status) && headers[headerNames.notRun] !== undefined ? 'not-run' : 'answer',
   noticeOf: headers => parseNotice(headers[headerNames.rateLimit], headers[headerNames.leaving]),
 };
--- a/packages/calls/src/upstreamDispatcher.ts
+++ b/packages/calls/src/upstreamDispatcher.ts
@@ -72,7 +72,7 @@
   readonly dialect: UpstreamDialect;
   /** The local upstream of a service. */
   readonly upstream: (service: string) => LocalUpstream | undefined;
-  /** Takes a notice that the local upstream of a service gave to an earlier process of this daemon, and that a sender has stored. */
+  /** Applies a notice that a sender has stored: the local upstream of the service sent it to an earlier process of this daemon. */
   readonly onNotice: (service: string, notice: UpstreamNotice) => void;
   /** The admission level at and above which calls of a route are refused by downstream services. */
   readonly downstreamLevel: (route: CallRoute) => number;
@@ -85,17 +85,17 @@
 
 /** Serves calls for the local upstreams. */
 export class UpstreamDispatcher {
-  private readonly isolation = new SuspectSemaphore();
+  private readonly suspectSemaphore = new SuspectSemaphore();
 
   constructor(private readonly options: UpstreamDispatcherOptions) {}
 
-  /** Handles one call; see CallHandler. */
+  /** Handles one call, as a CallHandler. */
   async handle(head: RequestHead, body: CallBody, signal: CancelSignal): Promise<CallResponse> {
     const context = head.context;
     const route = this.options.routeOf(head);
     if (head.notice) this.options.onNotice(head.service, head.notice);
     const upstream = this.options.upstream(head.service);
-    const earlyRefusal = this.refuseEarly(context, route, upstream);
+    const earlyRefusal = this.refusalBeforeAdmission(context, route, upstream);
     if (earlyRefusal || !context || !route || !upstream) {
       const refusal = earlyRefusal ?? createRefusal('innerMessageInvalid', 'The call has no context.');
       return withNotice(singlePartResponse(refusalPart(refusal, context?.retryTokens ?? 0)), upstream);
@@ -103,13 +103,13 @@
     const { quarantine, clock } = this.options;
     for (const start of head.endedStarts) quarantine.recordRemoteCrash(head, start);
     const call = { head, context, route, upstream, body, arrivedAt: clock.now() };
-    const isFree = this.standingOf(call) === 'free';
-    const response = await (isFree ? this.serve(call, signal) : this.serveIsolated(call, signal));
+    const isFree = this.quarantineStatusOf(call) === 'free';
+    const response = await (isFree ? this.serve(call, signal) : this.serveSuspect(call, signal));
     return withNotice(response, upstream);
   }
 
-  /** The fingerprint of a call is computed only while there are suspects. */
-  private standingOf({ head, body }: Pick<IncomingCall, 'head' | 'body'>): QuarantineStatus {
+  /** Whether a call is suspect or quarantined. Its fingerprint is computed only while there are suspects. */
+  private quarantineStatusOf({ head, body }: Pick<IncomingCall, 'head' | 'body'>): QuarantineStatus {
     const { quarantine } = this.options;
     const fingerprint = quarantine.isEmpty ? undefined : receivedFingerprint(head, body);
     return fingerprint === undefined ? 'free' : quarantine.statusOf(fingerprint);
@@ -117,17 +117,17 @@
 
   /**
    * Waits until a suspect may run with few other suspects, or none, at its upstream, and then serves it. Refuses it if it has been quarantined by
-   * then, which its sender may not know yet.
+   * then: its sender may not have received the verdict yet.
    */
-  private async serveIsolated(call: IncomingCall, signal: CancelSignal): Promise<CallResponse> {
+  private async serveSuspect(call: IncomingCall, signal: CancelSignal): Promise<CallResponse> {
     const { head, context, route, upstream } = call;
-    const room = this.standingOf(call) === 'strong-suspect' ? 'all-places' : 'a-place';
-    using place = await this.isolation.acquire(upstream.start, room, signal);
-    void place;
-    if (this.standingOf(call) === 'held') return this.refuseQuarantined(call);
-    const lateRefusal = this.refuseEarly(context, route, this.options.upstream(head.service));
-    return lateRefusal
-      ? singlePartResponse(refusalPart(lateRefusal, context.retryTokens))
+    const wanted = this.quarantineStatusOf(call) === 'strong-suspect' ? 'all-places' : 'a-place';
+    using permits = await this.suspectSemaphore.acquire(upstream.start, wanted, signal);
+    void permits;
+    if (this.quarantineStatusOf(call) === 'held') return this.refuseQuarantined(call);
+    const refusalAfterWait = this.refusalBeforeAdmission(context, route, this.options.upstream(head.service));
+    return refusalAfterWait
+      ? singlePartResponse(refusalPart(refusalAfterWait, context.retryTokens))
       : await this.serve(call, signal);
   }
 
@@ -163,7 +163,7 @@
     return this.options.attempts.seal(request);
   }
 
-  private refuseEarly(
+  private refusalBeforeAdmission(
     context: CallContext | undefined,
     route: CallRoute | undefined,
     upstream: LocalUpstream | undefined,
@@ -234,7 +234,11 @@
       cancellation[Symbol.dispose]();
     };
     try {
-      const response = this.toResponse(admitted, call, await this.ask(admitted, cancellation.signal));
+      const response = this.toResponse(
+        admitted,
+        call,
+        await this.sendToUpstream(admitted, cancellation.signal),
+      );
       const tookMs = clock.now() - startedAt;
       upstream.costs.recordRun(route.name, tookMs);
       if (!call.hasMadeCalls) upstream.admission.limit.recordRun(route.name, permit.share, tookMs);
@@ -253,7 +257,7 @@
     }
   }
 
-  private ask(
+  private sendToUpstream(
     { head, context, route, upstream, body }: AdmittedCall,
     signal: CancelSignal,
   ): Promise<UpstreamResponse> {
@@ -324,10 +328,10 @@
     finish: () => void,
   ): AsyncGenerator<AnswerPart> {
     const { route, context, upstream } = admitted;
-    let isWhole = false;
+    let isComplete = false;
     try {
       for await (const part of rest) {
-        isWhole = part.end !== undefined;
+        isComplete = part.end !== undefined;
         yield part;
       }
     } catch (error) {
@@ -337,7 +341,7 @@
       finish();
       // A seal request then reports that the attempt ended and its response is lost, since it was too long to be stored.
       if (!route.idempotent) this.options.attempts.markEnded(context.requestId, undefined);
-      this.options.journal.record(context.requestId, 'A long response ended.', { isWhole });
+      this.options.journal.record(context.requestId, 'A long response ended.', { isWhole: isComplete });
     }
   }
 
@@ -349,28 +353,31 @@
       upstream.onConnectionRefused();
       return createRefusal('unreachable', 'The upstream refused the connection.', { elsewhereHelps: true });
     }
-    const isGivenUp = signal.aborted;
-    if (!isGivenUp) upstream.connections.suspendReuse();
-    const result: ResultName = isGivenUp ? 'deadlinePassed' : 'upstreamBroke';
+    const isCancelled = signal.aborted;
+    if (!isCancelled) upstream.connections.suspendReuse();
+    const result: ResultName = isCancelled ? 'deadlinePassed' : 'upstreamBroke';
     const { journal } = this.options;
     journal.record(context.requestId, 'The upstream sent no complete response.', {
       why: message ?? 'unknown',
     });
-    const isMisplaced = error instanceof ResponseMismatch;
-    const end = isGivenUp || isMisplaced ? undefined : await this.options.ends.checkForCrash(upstream);
-    if (end) this.recordCrash(context.requestId, end, admitted);
+    const isMismatch = error instanceof ResponseMismatch;
+    const crash = isCancelled || isMismatch ? undefined : await this.options.ends.checkForCrash(upstream);
+    if (crash) this.recordCrash(context.requestId, crash, admitted);
     journal.requestEnded(context.requestId, true);
-    if (isGivenUp)
+    if (isCancelled)
       return createRefusal(result, `The request was cancelled. ${(signal.reason as Error).message}`);
-    if (isMisplaced) return createRefusal(result, error.message, { elsewhereHelps: true });
-    if (!end)
+    if (isMismatch) return createRefusal(result, error.message, { elsewhereHelps: true });
+    if (!crash)
       return createRefusal(result, 'The upstream failed before its response was complete.', {
         elsewhereHelps: true,
       });
     upstream.onConnectionRefused();
     // The sender may not have received yet that the request is quarantined.
-    const elsewhereHelps = this.standingOf(admitted) !== 'held';
-    return createRefusal('upstreamEnded', 'The upstream crashed.', { elsewhereHelps, endedStart: end.start });
+    const elsewhereHelps = this.quarantineStatusOf(admitted) !== 'held';
+    return createRefusal('upstreamEnded', 'The upstream crashed.', {
+      elsewhereHelps,
+      endedStart: crash.start,
+    });
   }
 
   private recordCrash(
@@ -387,13 +394,13 @@
   private load(upstream: LocalUpstream, route: CallRoute, { depth }: CallContext): Load {
     const load = upstream.admission.load();
     const { admissionLevel } = load;
-    const levelHere =
+    const upstreamLevel =
       depth > 0 ? admissionLevel : upstream.costs.rootAdmissionLevel(route.name, admissionLevel);
-    return { ...load, admissionLevel: Math.min(levelHere, this.options.downstreamLevel(route)) };
+    return { ...load, admissionLevel: Math.min(upstreamLevel, this.options.downstreamLevel(route)) };
   }
 }
 
-/** A full upstream takes about this long to work off its backlog. */
+/** A full upstream takes about this long to clear its backlog. */
 const SHED_DETAILS = { elsewhereHelps: true, retryAfterMs: 1000 };
 
 /** A signal that aborts when the sender's does or at the time limit; its reason states which. */
