--- a/packages/daemon/src/callerResponse.ts
+++ b/packages/daemon/src/callerResponse.ts
@@ -16,7 +16,7 @@
 import { type IncomingMessage, type ServerResponse } from 'node:http';
 import { type Duplex } from 'node:stream';
 
-const FIRST_SERVER_ERROR_STATUS = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 /**
  * Bodies of complete responses up to this size are written as latin1 strings: node concatenates a string with the
  * response head into a single write, whereas a buffer takes a gathered write of two.
@@ -67,7 +67,7 @@
   );
 }
 
-/** Writes what a daemon adds to an upstream's response, and the refusals that stand in for one. */
+/** Writes what a daemon adds to an upstream's response, and refusals, which are sent in place of one. */
 export interface ResponseWriter {
   /** Headers in addition to those of the upstream: alternating names and values. */
   readonly addedHeaders: (status: number, request: IncomingMessage) => string[];
@@ -76,7 +76,7 @@
 
 /** Writes responses of the native interface. */
 export const nativeResponseWriter: ResponseWriter = {
-  addedHeaders: status => [headerNames.outcome, status >= FIRST_SERVER_ERROR_STATUS ? 'failed' : 'answered'],
+  addedHeaders: status => [headerNames.outcome, status >= MIN_SERVER_ERROR_STATUS ? 'failed' : 'answered'],
   refusal: writeRefusal,
 };
 
--- a/packages/daemon/src/relayGateway.ts
+++ b/packages/daemon/src/relayGateway.ts
@@ -38,8 +38,8 @@
   readonly parentId: (requestId: string) => string | undefined;
   /** Time that the caller will wait, ms; throws if the header is not a valid duration. */
   readonly remainingMs: (request: IncomingMessage) => number | undefined;
-  /** Lower-case names of headers that are not forwarded unchanged. */
-  readonly consumedHeaders: ReadonlySet<string>;
+  /** Lower-case names of headers that are not forwarded; some are sent anew by the upstream's dialect. */
+  readonly strippedHeaders: ReadonlySet<string>;
   /** Lower-case name of the header that carries the caller's API key, if requests need one. */
   readonly credentialsHeader: string;
   readonly responseWriter: ResponseWriter;
@@ -61,12 +61,12 @@
 /** An HTTP server for callers; `adoptConfiguration` is to be called after each change of the active configuration. */
 export class RelayGateway {
   readonly server: Server;
-  private readonly consumedWithKeys: ReadonlySet<string>;
+  private readonly strippedWithKeys: ReadonlySet<string>;
   private hasEverNeededKeys = false;
 
   constructor(private readonly options: RelayGatewayOptions) {
-    const { consumedHeaders, credentialsHeader } = options.dialect;
-    this.consumedWithKeys = new Set([...consumedHeaders, credentialsHeader]);
+    const { strippedHeaders, credentialsHeader } = options.dialect;
+    this.strippedWithKeys = new Set([...strippedHeaders, credentialsHeader]);
     this.server = createServer(
       { maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 },
       (request, response) => {
@@ -129,7 +129,7 @@
       host: request.headers.host ?? '',
       method: request.method ?? 'GET',
       path: request.url ?? '/',
-      headers: forwardedRawHeaders(request.rawHeaders, this.consumedHeaders()),
+      headers: forwardedRawHeaders(request.rawHeaders, this.strippedHeaders()),
       credentials: this.credentialsOf(request),
       requestId,
       remainingMs: remainingMs === undefined ? undefined : remainingMs - waitedMs,
@@ -141,8 +141,8 @@
    * Callers keep sending their keys after a configuration that no longer needs them. A header that has carried keys is
    * therefore never forwarded again for the lifetime of this process.
    */
-  private consumedHeaders(): ReadonlySet<string> {
-    return this.hasEverNeededKeys ? this.consumedWithKeys : this.options.dialect.consumedHeaders;
+  private strippedHeaders(): ReadonlySet<string> {
+    return this.hasEverNeededKeys ? this.strippedWithKeys : this.options.dialect.strippedHeaders;
   }
 
   private credentialsOf({ rawHeaders }: IncomingMessage): Credentials {
--- a/packages/errors/src/failure.ts
+++ b/packages/errors/src/failure.ts
@@ -27,8 +27,8 @@
 
   /** One line for display: code, field, message and advice. */
   describe(): string {
-    const place = this.field === undefined ? '' : `${this.field}: `;
-    return `CQ${String(this.row.code)} ${place}${this.message.replaceAll('\n', ' ')} ${this.row.advice}`;
+    const fieldPrefix = this.field === undefined ? '' : `${this.field}: `;
+    return `CQ${String(this.row.code)} ${fieldPrefix}${this.message.replaceAll('\n', ' ')} ${this.row.advice}`;
   }
 }
 
