--- a/packages/calls/src/recordOutcome.ts
+++ b/packages/calls/src/recordOutcome.ts
@@ -7,7 +7,7 @@
 
 /** Records how a request ended, and that it took `ms`. */
 export function recordOutcome(
-  journal: DecisionTrace,
+  decisionTrace: DecisionTrace,
   requestId: string,
   { first }: CallResponse,
   ms: number,
@@ -16,7 +16,16 @@
   const tookMs = Math.round(ms);
   if (refusal) {
     const { code, outcome, message, retryAfterMs } = refusal;
-    journal.record(requestId, 'Refused or failed.', { code, outcome, why: message, retryAfterMs, tookMs });
-  } else journal.record(requestId, 'Answered.', { status: head?.status ?? 0, tookMs });
-  journal.requestEnded(requestId, refusal !== undefined || (head?.status ?? 0) >= MIN_SERVER_ERROR_STATUS);
+    decisionTrace.record(requestId, 'Refused or failed.', {
+      code,
+      outcome,
+      why: message,
+      retryAfterMs,
+      tookMs,
+    });
+  } else decisionTrace.record(requestId, 'Answered.', { status: head?.status ?? 0, tookMs });
+  decisionTrace.requestEnded(
+    requestId,
+    refusal !== undefined || (head?.status ?? 0) >= MIN_SERVER_ERROR_STATUS,
+  );
 }
