--- a/packages/calls/src/forwarder.ts
+++ b/packages/calls/src/forwarder.ts
@@ -54,6 +54,7 @@
   readonly quarantine: Quarantine;
   /** ip:port of this daemon; calls to its local upstream take no network hop. */
   readonly self: string;
+  /** Handles calls whose candidate is this daemon. */
   readonly local: CallHandler;
   /**
    * Whether the signals passed to `forward` abort at the deadline of the call. An attempt then needs no timer of its own,
--- a/packages/calls/src/ingress.ts
+++ b/packages/calls/src/ingress.ts
@@ -64,6 +64,7 @@
 /** Dependencies on the daemon. */
 export interface IngressOptions {
   readonly clock: Clock;
+  /** ip:port of the peer protocol of this daemon. */
   readonly self: string;
   readonly epoch: () => number;
   readonly graph: () => CallGraph | undefined;
@@ -246,7 +247,7 @@
     await body.prefetch();
     const lifetimeMs = this.options.graph()?.file.requestIdLifetimeMs ?? 0;
     yield* deduplicator.runOnce(context.requestId, lifetimeMs, context.remainingMs, signal, () =>
-      start(NEVER),
+      start(NON_IDEMPOTENT_SIGNAL),
     );
   }
 
@@ -349,7 +350,7 @@
     const organisation = this.options.graph()?.keyring?.get(context.organisation);
     const start = () =>
       this.forwardWithinQuota(organisation, context, c =>
-        forwarder.forward(route, { ...head, context: c }, c, body, NEVER),
+        forwarder.forward(route, { ...head, context: c }, c, body, NON_IDEMPOTENT_SIGNAL),
       );
     yield* deduplicator.runOnce(requestId, Math.max(1, lifetimeMs), remainingMs, call.signal, start);
   }
@@ -422,8 +423,8 @@
   }
 }
 
-/** A non-idempotent request that was started runs to its end, even if the caller disconnects. */
-const NEVER = NEVER_CANCELLED;
+/** Never aborts: a non-idempotent request that was started runs to its end, even if the caller disconnects. */
+const NON_IDEMPOTENT_SIGNAL = NEVER_CANCELLED;
 
 async function* observeParts(
   parts: AsyncIterable<AnswerPart>,
--- a/packages/calls/src/upstreamDispatcher.ts
+++ b/packages/calls/src/upstreamDispatcher.ts
@@ -222,7 +222,11 @@
       inFlight: upstream.admission.load().inFlight,
     });
     const timeLimitMs = context.remainingMs + (route.idempotent ? 0 : NON_IDEMPOTENT_GRACE_MS);
-    const cancellation = cancellationOf(clock, timeLimitMs, route.idempotent ? signal : NEVER);
+    const cancellation = cancellationOf(
+      clock,
+      timeLimitMs,
+      route.idempotent ? signal : NON_IDEMPOTENT_SIGNAL,
+    );
     const { head, body } = admitted;
     const deadlineAt = clock.now() + context.remainingMs;
     const request = { head, body, start: upstream.start };
@@ -425,8 +429,8 @@
   return notice ? { ...response, first: { ...response.first, notice } } : response;
 }
 
-/** A non-idempotent request that was started continues even if the caller disconnects. */
-const NEVER = NEVER_CANCELLED;
+/** Never aborts: a non-idempotent request that was started continues even if the caller disconnects. */
+const NON_IDEMPOTENT_SIGNAL = NEVER_CANCELLED;
 
 function statusOf({ first }: CallResponse): number {
   return first.head?.status ?? 0;
