--- a/packages/calls/src/authenticator.ts
+++ b/packages/calls/src/authenticator.ts
@@ -36,7 +36,7 @@
   constructor(private readonly options: AuthenticatorOptions) {}
 
   /**
-   * A call of an upstream needs no key: that of the request that makes it was checked already. A key that is presented has to be valid, even where none
+   * A call of an upstream needs no key: the request that makes it was authenticated where its route requires that. A key that is presented has to be valid, even where none
    * is needed.
    *
    * Revocations are checked once, at the ingress: the request was sent before that, so that it is within the bound for revocations however long it
