--- a/packages/calls/src/authenticator.ts
+++ b/packages/calls/src/authenticator.ts
@@ -36,8 +36,8 @@
   constructor(private readonly options: AuthenticatorOptions) {}
 
   /**
-   * A call of an upstream needs no key: the request that makes it was authenticated where its route requires that. A key that is presented has to be valid, even where none
-   * is needed.
+   * A call of an upstream needs no key: the request that makes it was authenticated where its route requires that. A key that is
+   * presented has to be valid, even where none is needed.
    *
    * Revocations are checked once, at the ingress: the request was sent before that, so that it is within the bound for revocations however long it
    * waits afterwards. While revocations are not known to be current, an unknown key may be a new one, so that it is not refused as unknown.
