--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -38,9 +38,9 @@
   private version: AppliedVersion | undefined;
   private compiled: Compiled | undefined;
 
-  private adopted: Date | undefined;
+  private adoptionDate: Date | undefined;
   private contentDigest = '';
-  private confirmed = false;
+  private isContentConfirmed = false;
   private readonly rememberedContents = new Map<string, Sections>();
 
   constructor(
@@ -74,12 +74,12 @@
 
   /** Whether a read of the platform has confirmed that this content belongs to its generation. */
   get isConfirmed(): boolean {
-    return this.confirmed;
+    return this.isContentConfirmed;
   }
 
   /** When the active version was adopted. */
   get adoptedAt(): Date | undefined {
-    return this.adopted;
+    return this.adoptionDate;
   }
 
   /** The compiled active configuration; undefined before the first generation. */
@@ -98,16 +98,16 @@
     const digest = digestOf(sections);
     if (version.generation === before.generation) {
       if (from !== 'platform') return false;
-      this.confirmed = digest === before.digest;
-      if (this.confirmed) return false;
+      this.isContentConfirmed = digest === before.digest;
+      if (this.isContentConfirmed) return false;
     }
     const changes = differences(this.version?.sections ?? new Map(), sections);
     this.compiled = this.compile(sections);
     invariant(version.generation >= this.generation, 'Configuration: the generation decreased.');
     this.version = { ...version, sections };
     this.contentDigest = digest;
-    this.confirmed = from === 'platform';
-    this.adopted = this.clock.date();
+    this.isContentConfirmed = from === 'platform';
+    this.adoptionDate = this.clock.date();
     this.remember(digest, sections);
     this.onChange({ generation: version.generation, digest, from, before, changes });
     return true;
@@ -142,10 +142,10 @@
    * the digest of the response.
    */
   adoptResponse(response: ConfigurationAnswer, from: Origin): boolean {
-    const isWhole = response.baseDigest === '';
-    if (response.generation <= this.generation || (!isWhole && response.baseDigest !== this.digest))
+    const isFullContent = response.baseDigest === '';
+    if (response.generation <= this.generation || (!isFullContent && response.baseDigest !== this.digest))
       return false;
-    const sections = new Map(isWhole ? [] : this.version?.sections);
+    const sections = new Map(isFullContent ? [] : this.version?.sections);
     for (const { name, content } of response.sections) {
       if (content === '') sections.delete(name);
       else sections.set(name, content);
--- a/packages/configuration/src/configurationDistribution.ts
+++ b/packages/configuration/src/configurationDistribution.ts
@@ -10,7 +10,7 @@
 const MAX_READ_INTERVAL_MS = 15_000;
 /** Delay before a failed round of requests to peers is repeated, ms: two rounds fit into the 2 s within which a change has to be active. */
 const PEER_RETRY_DELAY_MS = 300;
-/** How long to wait for a response before the next peer is asked, ms: ten round trips over the longest distance. */
+/** How long to wait for a response before the request goes to the next peer, ms: ten round trips over the longest distance. */
 const PEER_TIMEOUT_MS = 250;
 
 /** The configuration that a peer announces. */
@@ -32,10 +32,10 @@
   /** Whether this daemon is one of the platform readers of its failure domain. */
   readonly isReader: () => boolean;
   /** Called after each read with whether the platform is reachable. */
-  readonly onReachability: (isReached: boolean) => void;
+  readonly onReachability: (isReachable: boolean) => void;
   /** Fetches what this daemon lacks from a peer. */
   readonly fetch: (peer: string, request: ConfigurationRequest) => Promise<ConfigurationAnswer>;
-  /** The peers to ask, in order, given those that have announced a higher generation. */
+  /** The peers to fetch from, in order, given those that have announced a higher generation. */
   readonly fetchOrder: (candidates: readonly string[]) => readonly string[];
   /** Delay before a version is fetched from a peer, ms, in which this daemon's own source may provide it. */
   readonly fetchDelayMs: (peer: string) => number;
@@ -75,9 +75,10 @@
   /** Handles a peer's announcement of its configuration. */
   handleAnnouncement({ generation, shortDigest }: AnnouncedConfiguration, peer: string): void {
     const { configuration, onDigestMismatch } = this.options;
-    const isOther = generation === configuration.generation && shortDigest !== configuration.shortDigest;
+    const hasOtherContent =
+      generation === configuration.generation && shortDigest !== configuration.shortDigest;
     if (
-      isOther &&
+      hasOtherContent &&
       shortDigest !== 0 &&
       !configuration.isConfirmed &&
       this.mismatchedGeneration !== generation
@@ -130,14 +131,14 @@
 
   private async attemptRead(store: ConfigurationStore): Promise<boolean> {
     const { configuration, freshness } = this.options;
-    const begun = freshness.moment();
+    const readStartedAt = freshness.moment();
     this.state.platformReads++;
     try {
       const { generation, applyId } = await store.current();
       const isKnown = generation === configuration.generation && applyId === configuration.applyId;
       const isNew = generation >= configuration.generation && (!isKnown || this.hasMismatch);
       if (isNew) configuration.adopt(await store.read(), 'platform');
-      freshness.confirm(begun);
+      freshness.confirm(readStartedAt);
       return true;
     } catch (error) {
       this.state.platformFailures++;
@@ -146,24 +147,24 @@
     }
   }
 
-  /** Asks only peers that have announced the missing version, or may have it: right after a change few daemons have it. */
+  /** Fetches only from peers that have announced the missing version, or may have it: right after a change few daemons have it. */
   private async fetchUntilCaughtUp(first: string): Promise<void> {
     const { clock, fetchDelayMs } = this.options;
     const { signal } = this.stopped;
     await clock.sleep(fetchDelayMs(first), signal);
-    const asked = new Set<string>();
+    const requestedPeers = new Set<string>();
     for (
       let candidates = this.peersAhead();
       candidates.length > 0 && !signal.aborted;
       candidates = this.peersAhead()
     ) {
-      const peer = this.options.fetchOrder(candidates).find(address => !asked.has(address));
+      const peer = this.options.fetchOrder(candidates).find(address => !requestedPeers.has(address));
       if (peer === undefined) {
-        asked.clear();
+        requestedPeers.clear();
         await clock.sleep(PEER_RETRY_DELAY_MS, signal);
         continue;
       }
-      asked.add(peer);
+      requestedPeers.add(peer);
       await this.fetchWithin(PEER_TIMEOUT_MS, peer);
     }
     this.generationsByPeer.clear();
--- a/packages/configuration/src/configurationWatcher.ts
+++ b/packages/configuration/src/configurationWatcher.ts
@@ -52,7 +52,7 @@
   /** Delay after a failed read, ms. */
   readonly retryDelayMs: () => number;
   /** Called with whether the source is reachable, after each successful call and each failed read. */
-  readonly onReachability: (isReached: boolean) => void;
+  readonly onReachability: (isReachable: boolean) => void;
   readonly log: (message: string, facts: object) => void;
 }
 
@@ -96,17 +96,17 @@
       this.checkedAt = this.options.clock.now();
       // A wait may have failed only because its connection was stale: the source is read at once on another one.
       const wasWait = this.nextCall !== 'read';
-      const begunAt = this.checkedAt;
+      const startedAt = this.checkedAt;
       const hasSucceeded = await this.runNextCall(signal);
-      if (hasSucceeded) await this.waitForInterval(begunAt, signal);
+      if (hasSucceeded) await this.waitForInterval(startedAt, signal);
       if (hasSucceeded || wasWait) continue;
       await this.options.clock.sleep(this.options.retryDelayMs(), signal);
     }
   }
 
-  private async waitForInterval(begunAt: number, signal: AbortSignal): Promise<void> {
+  private async waitForInterval(startedAt: number, signal: AbortSignal): Promise<void> {
     const { clock, readIntervalMs } = this.options;
-    const leftMs = begunAt + (readIntervalMs() ?? 0) - clock.now();
+    const leftMs = startedAt + (readIntervalMs() ?? 0) - clock.now();
     if (leftMs > 0) await clock.sleep(leftMs, signal);
   }
 
@@ -121,21 +121,21 @@
 
   private async runNextCall(signal: AbortSignal): Promise<boolean> {
     const { configuration, freshness } = this.options;
-    const hasRead = this.nextCall === 'read';
-    const begun = freshness.moment();
+    const isRead = this.nextCall === 'read';
+    const startedAt = freshness.moment();
     try {
       const version = await this.callSource(signal);
       this.nextCall = version ? 'wait-after-version' : 'wait';
       this.onSourceReached();
       if (version) configuration.adoptContent(version.generation, version.sections, 'platform');
-      freshness.confirm(begun);
+      freshness.confirm(startedAt);
       return true;
     } catch (error) {
       const failure = asFailure(error);
       if (signal.aborted) return false;
-      if (failure.result === 'configurationInvalid') return this.onRejectedVersion(failure, begun);
+      if (failure.result === 'configurationInvalid') return this.onInvalidVersion(failure, startedAt);
       this.nextCall = 'read';
-      this.onSourceFailure(failure, hasRead);
+      this.onSourceFailure(failure, isRead);
       return false;
     }
   }
@@ -143,16 +143,16 @@
   private callSource(signal: AbortSignal): Promise<SourcedVersion | undefined> {
     const { source, waitMs, readIntervalMs } = this.options;
     if (this.nextCall === 'read') return source.read(signal);
-    const isPaced = readIntervalMs() !== undefined;
-    return source.next(isPaced ? 0 : waitMs(this.nextCall === 'wait-after-version'), signal);
+    const hasReadInterval = readIntervalMs() !== undefined;
+    return source.next(hasReadInterval ? 0 : waitMs(this.nextCall === 'wait-after-version'), signal);
   }
 
   /**
    * The source is reachable, so that there is nothing to retry until it has another version. After an invalid version the previous one stays
    * active, and counts as the newest valid one.
    */
-  private onRejectedVersion(failure: Failure, begun: Moment): boolean {
-    this.options.freshness.confirm(begun);
+  private onInvalidVersion(failure: Failure, startedAt: Moment): boolean {
+    this.options.freshness.confirm(startedAt);
     this.nextCall = 'wait';
     this.onSourceReached();
     this.options.log('A version was refused.', { reason: failure.describe() });
@@ -166,9 +166,9 @@
   }
 
   /** Only a failed read is reported: a wait may have failed only because its connection was stale. */
-  private onSourceFailure(failure: Failure, hasRead: boolean): void {
+  private onSourceFailure(failure: Failure, isRead: boolean): void {
     if (!this.isUnreachable) this.options.log('The source is unreachable.', { reason: failure.describe() });
     this.isUnreachable = true;
-    if (hasRead) this.options.onReachability(false);
+    if (isRead) this.options.onReachability(false);
   }
 }
--- a/packages/configuration/src/freshness.ts
+++ b/packages/configuration/src/freshness.ts
@@ -9,7 +9,7 @@
  */
 import { type Clock } from '@cleatquay/clock';
 
-/** A moment by two clocks of this VM, ms. Only differences are meaningful. */
+/** A moment by two clocks of this VM, the monotonic one and the wall clock, ms. Only differences are meaningful. */
 export interface Moment {
   readonly monotonic: number;
   readonly date: number;
@@ -49,9 +49,9 @@
     return this.provenAt ? this.elapsedMs(this.provenAt) : Number.POSITIVE_INFINITY;
   }
 
-  /** A read of the platform that began at `begun` found nothing newer than the active configuration. */
-  confirm(begun: Moment): void {
-    if (this.configuration.generation > 0) this.offer(begun);
+  /** A read of the platform that began at `readStartedAt` found nothing newer than the active configuration. */
+  confirm(readStartedAt: Moment): void {
+    if (this.configuration.generation > 0) this.keepIfNewer(readStartedAt);
   }
 
   /**
@@ -60,19 +60,20 @@
    */
   receiveProof({ generation, shortDigest, ageMs }: FreshnessProof, requestedAt: Moment): void {
     const { configuration } = this;
-    const isOther = generation === configuration.generation && shortDigest !== configuration.shortDigest;
-    const isUsable = generation > 0 && generation <= configuration.generation && !isOther;
+    const hasOtherContent =
+      generation === configuration.generation && shortDigest !== configuration.shortDigest;
+    const isUsable = generation > 0 && generation <= configuration.generation && !hasOtherContent;
     if (!isUsable || !(ageMs >= 0)) return;
-    this.offer({ monotonic: requestedAt.monotonic - ageMs, date: requestedAt.date - ageMs });
+    this.keepIfNewer({ monotonic: requestedAt.monotonic - ageMs, date: requestedAt.date - ageMs });
   }
 
-  private offer(moment: Moment): void {
+  private keepIfNewer(moment: Moment): void {
     if (this.elapsedMs(moment) < this.ageMs) this.provenAt = moment;
   }
 
   /**
-   * The larger of the times elapsed by the two clocks: on most systems the monotonic clock stops while the VM is suspended, and the time of day may
-   * be set back. If that is set forward, proofs count as too old until the next one.
+   * The larger of the times elapsed by the two clocks: on most systems the monotonic clock stops while the VM is suspended, and the wall
+   * clock may be set back. If it is set forward, proofs count as too old until the next one.
    */
   private elapsedMs({ monotonic, date }: Moment): number {
     return Math.max(this.clock.now() - monotonic, this.clock.date().getTime() - date);
--- a/packages/settings/src/callGraph.ts
+++ b/packages/settings/src/callGraph.ts
@@ -4,14 +4,14 @@
 import { match } from 'path-to-regexp';
 import { type OperatorFile, type RouteDeclaration } from './operatorFile.js';
 
-/** `service.route` */
+/** Name of a route, as `service.route`. */
 export type RouteName = string;
 
 /** A compiled route. */
 export interface Route extends RouteDeclaration {
   readonly name: RouteName;
   readonly service: string;
-  /** Index of its class; 0 has the highest priority. */
+  /** Index of its priority class in the file; 0 has the highest priority. */
   readonly rank: number;
   readonly matches: (path: string) => boolean;
 }
@@ -32,7 +32,7 @@
 export class CallGraph {
   private readonly byName = new Map<RouteName, Route>();
   private readonly byService = new Map<string, Route[]>();
-  private readonly ranks: PriorityClasses;
+  private readonly priorityClasses: PriorityClasses;
   /** The keys that requests may use; undefined if requests need none. */
   readonly keyring: Keyring | undefined;
 
@@ -45,27 +45,29 @@
       for (const route of routes) this.byName.set(route.name, route);
     }
     this.keyring = file.organisations && new Keyring(organisationsOf(file.organisations));
-    this.ranks = new PriorityClasses({
+    this.priorityClasses = new PriorityClasses({
       routes: file.classes.map((_, rank) => rank),
       organisations: this.keyring?.ranks ?? [],
     });
   }
 
-  /** Number of ranks that requests may have. */
+  /** Number of priority classes that requests may have, those of organisations included. */
   get classes(): number {
-    return this.ranks.count;
+    return this.priorityClasses.count;
   }
 
-  /** Rank of a request on the route; 0 has the highest priority. */
+  /** Index of the priority class of a request on the route; 0 has the highest priority. */
   rankOf(route: Route, organisation: Organisation | undefined): number {
-    return this.ranks.classOf(route.rank, organisation?.rank);
+    return this.priorityClasses.classOf(route.rank, organisation?.rank);
   }
 
   /** The route of a request; `path` may have a query. */
   find(service: string, method: string, path: string): Route | undefined {
     const query = path.indexOf('?');
-    const bare = query < 0 ? path : path.slice(0, query);
-    return this.byService.get(service)?.find(route => route.method === method && route.matches(bare));
+    const pathWithoutQuery = query < 0 ? path : path.slice(0, query);
+    return this.byService
+      .get(service)
+      ?.find(route => route.method === method && route.matches(pathWithoutQuery));
   }
 
   get(name: RouteName): Route | undefined {
--- a/packages/settings/src/checkOperatorFile.ts
+++ b/packages/settings/src/checkOperatorFile.ts
@@ -1,4 +1,4 @@
-/** Reads the operators' file, and validates its schema and its semantics. */
+/** Reads the operator file, and validates its schema and its semantics. */
 import { Failure } from '@cleatquay/errors';
 import { readFileSync } from 'node:fs';
 import { CallGraph } from './callGraph.js';
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,4 +1,4 @@
-/** Process settings and the operators' file, each validated against its schema. */
+/** Process settings and the operator file, each validated against its schema. */
 export {
   type ProcessSettings,
   ProcessSettingsSchema,
--- a/packages/settings/src/operatorFile.ts
+++ b/packages/settings/src/operatorFile.ts
@@ -1,4 +1,4 @@
-/** Schema of the operators' file: services, routes, priority classes, idempotence, calls, limits. */
+/** Schema of the operator file: services, routes, priority classes, idempotence, calls, limits. */
 import { type Static, Type } from '@sinclair/typebox';
 
 const RouteSchema = Type.Object(
@@ -60,7 +60,7 @@
   { additionalProperties: false },
 );
 
-/** JSON Schema of the operators' file. */
+/** JSON Schema of the operator file. */
 export const OperatorFileSchema = Type.Object(
   {
     $schema: Type.Optional(Type.String()),
