--- a/packages/daemon/src/adoptionLog.ts
+++ b/packages/daemon/src/adoptionLog.ts
@@ -22,7 +22,10 @@
   log.warn({ generation, digest, peer }, 'Configuration: A peer has different content for this generation.');
 }
 
-/** Logs that a peer reported a higher generation but did not deliver it. Writes at most four lines a second. */
+/**
+ * Logs that a peer reported a higher generation but did not deliver it. Peers are queried one after the other, so that unresponsive ones cause
+ * at most four lines a second.
+ */
 export function logPeerFetchFailure(log: Logger, peer: string, reason: string): void {
   log.info({ peer, reason }, 'Configuration: Fetching a version from a peer failed.');
 }
--- a/packages/daemon/src/createFleetQuotas.ts
+++ b/packages/daemon/src/createFleetQuotas.ts
@@ -23,11 +23,11 @@
 /** Creates quotas that exchange their messages in membership datagrams. */
 export function createFleetQuotas(options: FleetQuotasOptions): Quotas {
   const { failureDomain, division, clock, random, membership, hasFleetView } = options;
-  const monotonicTime = new ElapsedTime(clock);
+  const elapsedTime = new ElapsedTime(clock);
   return new Quotas({
     clock,
     random,
-    now: () => monotonicTime.now(),
+    now: () => elapsedTime.now(),
     epoch: () => membership.me.epoch,
     division,
     self: membership.me.gossipAddress,
@@ -35,7 +35,7 @@
     members: () => [...membership.table.all()].filter(({ state }) => state === 'ALIVE'),
     shareCount: () =>
       hasFleetView() ? membership.countRecentlyUp(failureDomain, PARTITION_GRACE_MS) : undefined,
-    sendRequest: (to, question) => membership.sendQuotaRequest(to, question),
-    sendResponse: (to, answer) => membership.sendQuotaResponse(to, answer),
+    sendRequest: (to, request) => membership.sendQuotaRequest(to, request),
+    sendResponse: (to, response) => membership.sendQuotaResponse(to, response),
   });
 }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -48,7 +48,7 @@
 const HEARTBEAT_MS = 1000;
 /** Upper bound of the queueing delay before there is a configuration, ms. */
 const DEFAULT_MAX_QUEUE_MS = 50;
-/** Time after the start at which a daemon is assumed to know all other members, ms. */
+/** Time after the start from which a daemon is assumed to know all other members, ms. */
 const FLEET_DISCOVERY_MS = 3000;
 /** Upper bound of the priority classes in an operator file; applies until a configuration is active. */
 const MAX_CLASSES = 16;
@@ -67,7 +67,7 @@
   readonly configuration: Configuration<CallGraph>;
   private readonly faultHooks = new FaultHooks();
   private readonly configurationLog: Logger;
-  private readonly home: RequestDeduplicator;
+  private readonly deduplicator: RequestDeduplicator;
   private readonly broker: ServiceBroker;
   private readonly scheduler: RequestScheduler;
   private readonly inFlight = new Set<Promise<unknown>>();
@@ -92,7 +92,7 @@
       },
     );
     this.organisations = this.createOrganisationServices();
-    this.home = new RequestDeduplicator(clock);
+    this.deduplicator = new RequestDeduplicator(clock);
     this.store = settings.platform === undefined ? undefined : new HttpStore(settings.platform);
     this.broker = createBroker();
     this.scheduler = new RequestScheduler(clock, () => false);
@@ -182,7 +182,7 @@
       quarantineTable: NO_TABLE,
       localService: '',
       handleAsHome: (head, body, signal) => this.ingress.handleAsHome(head, body, signal),
-      answerConfiguration: request => this.configuration.createResponse(request),
+      createConfigurationResponse: request => this.configuration.createResponse(request),
       freshness: this.organisations.freshness,
       quotas: this.organisations.quotaHandlers,
       onPeerConfiguration: (reported, peer) => this.distribution.handleAnnouncement(reported, peer),
@@ -200,7 +200,7 @@
 
   private createIngress(): Ingress {
     const { clock } = this.options;
-    const { core, home } = this;
+    const { core, deduplicator } = this;
     const epoch = () => core.membership.me.epoch;
     return new Ingress({
       clock,
@@ -211,12 +211,12 @@
       forwarder: core.forwarder,
       peers: core.peers,
       directory: core.directory,
-      deduplicator: home,
+      deduplicator,
       ids: new RequestIdIssuer(clock, core.self, epoch),
       idempotencyKeys: new IdempotencyKeys(clock, this.store),
       running: core.running,
       journal: core.decisionTrace,
-      authenticator: this.organisations.senders,
+      authenticator: this.organisations.authenticator,
       quotaGate: this.organisations.createQuotaGate(core.decisionTrace),
     });
   }
@@ -254,8 +254,8 @@
       store: this.store && new ConfigurationStore(this.store, clock),
       isReader: () =>
         platformReadersOf(settings.failureDomain, core.membership.table.all()).includes(core.self),
-      onReachability: isReached => core.membership.setPlatformLost(!isReached),
-      fetchOrder: holders => holders,
+      onReachability: isReachable => core.membership.setPlatformLost(!isReachable),
+      fetchOrder: candidates => candidates,
       fetchDelayMs: () => 0,
       fetch: (peer, request) => core.peers.fetchConfiguration(peer, request),
       onPeerFailure: (peer, reason) => logPeerFetchFailure(this.configurationLog, peer, reason),
@@ -309,14 +309,14 @@
   }
 
   private isBusy(): boolean {
-    return this.inFlight.size > 0 || this.core.running.size > 0 || this.home.runningCount > 0;
+    return this.inFlight.size > 0 || this.core.running.size > 0 || this.deduplicator.runningCount > 0;
   }
 
   private get reportSources(): ReportSources {
     const { settings } = this.options;
-    const { addresses, configuration, distribution, membership, upstreams, home, inFlight } = this;
+    const { addresses, configuration, distribution, membership, upstreams, deduplicator, inFlight } = this;
     const { router, attempts, running, peers, quarantine } = this.core;
     const sources = { settings, addresses, configuration, distribution, membership, upstreams, router };
-    return { ...sources, home, attempts, running, peers, quarantine, inFlight };
+    return { ...sources, deduplicator, attempts, running, peers, quarantine, inFlight };
   }
 }
--- a/packages/daemon/src/daemonCore.ts
+++ b/packages/daemon/src/daemonCore.ts
@@ -95,7 +95,7 @@
   readonly localService: string;
   /** Handles a call that is sent to this daemon as the home daemon of its request id. */
   readonly handleAsHome: CallHandler;
-  readonly answerConfiguration: (request: ConfigurationRequest) => ConfigurationAnswer;
+  readonly createConfigurationResponse: (request: ConfigurationRequest) => ConfigurationAnswer;
   /** When the configuration was last known to be the newest; absent if nothing depends on it. */
   readonly freshness?: Freshness;
   readonly quotas?: QuotaHandlers;
@@ -198,7 +198,7 @@
       downstreamLevel: route => this.downstreamLevel(route),
       attempts: this.attempts,
       running: this.running,
-      ends: new CrashDetector({ clock, running: this.running, onCrash: end => this.onCrash(end) }),
+      ends: new CrashDetector({ clock, running: this.running, onCrash: crash => this.onCrash(crash) }),
       quarantine: this.quarantine,
       journal: this.decisionTrace,
     });
@@ -217,7 +217,7 @@
     });
   }
 
-  /** Starts to listen for peers; `membership.start` joins the cluster. */
+  /** Starts to listen for peers; `membership.start` joins the fleet. */
   static async start(options: CoreOptions): Promise<DaemonCore> {
     const { ip, innerPort, gossipPort } = options.settings;
     const datagrams = await UdpDatagrams.bind(ip, gossipPort);
@@ -226,7 +226,7 @@
       clock: options.clock,
       exchange: (head, body, signal) => requireCore(started).exchange(head, body, signal),
       seal: request => requireCore(started).upstreamDispatcher.seal(request),
-      configuration: options.answerConfiguration,
+      configuration: options.createConfigurationResponse,
       scheduler: options.scheduler,
     });
     const port = await server.listen(ip, innerPort);
@@ -272,7 +272,7 @@
     return this.isPartitionedFrom(failureDomain) ? 'silent' : 'good';
   }
 
-  /** Whether a failure domain seems to be partitioned from this daemon; cached, since every routing choice asks. */
+  /** Whether a failure domain seems to be partitioned from this daemon; cached, since every routing decision checks it. */
   private isPartitionedFrom(failureDomain: string): boolean {
     const now = this.options.clock.now();
     const cached = this.partitionChecks.get(failureDomain);
@@ -325,7 +325,7 @@
   return {
     ageMs: () => freshness.ageMs,
     captureContext: () => freshness.moment(),
-    receive: (proof, asked) => freshness.receiveProof(proof, asked),
+    receive: (proof, requestedAt) => freshness.receiveProof(proof, requestedAt),
   };
 }
 
--- a/packages/daemon/src/daemonReport.ts
+++ b/packages/daemon/src/daemonReport.ts
@@ -23,7 +23,7 @@
   readonly membership: Membership;
   readonly upstreams: Upstreams;
   readonly router: Router;
-  readonly home: RequestDeduplicator;
+  readonly deduplicator: RequestDeduplicator;
   readonly attempts: AttemptRegistry;
   readonly running: RunningCalls;
   readonly peers: Peers;
@@ -51,7 +51,7 @@
     calls: {
       inFlight: sources.inFlight.size,
       runningHere: sources.running.size,
-      rememberedIds: sources.home.size,
+      rememberedIds: sources.deduplicator.size,
       rememberedTries: sources.attempts.size,
       peers: sources.peers.addresses,
     },
@@ -91,7 +91,7 @@
 
 /** Adds gauges that are evaluated on each scrape; docs/operators/observe.md lists them. */
 export function addDaemonGauges(metrics: Metrics, sources: ReportSources): void {
-  const { configuration, distribution, membership, upstreams, home, inFlight } = sources;
+  const { configuration, distribution, membership, upstreams, deduplicator, inFlight } = sources;
   const { traffic, table } = membership;
   const gauge = (name: string, help: string, read: () => number) =>
     metrics.gauge(`cleatquay_${name}`, help, read);
@@ -107,7 +107,7 @@
   gauge('members', 'Known members, gone ones included', () => table.size);
   gauge('gossip_sent_bytes', 'Bytes of gossip sent', () => traffic.sentBytes);
   gauge('gossip_received_bytes', 'Bytes of gossip received', () => traffic.receivedBytes);
-  gauge('remembered_ids', 'Request ids remembered here', () => home.size);
+  gauge('remembered_ids', 'Request ids remembered here', () => deduplicator.size);
   gauge('admission_level', 'Lowest admission level of the upstreams here', () =>
     upstreams.lowestAdmissionLevel(),
   );
--- a/packages/daemon/src/organisationServices.ts
+++ b/packages/daemon/src/organisationServices.ts
@@ -1,4 +1,4 @@
-/** Wires the parts that check the API keys and quotas of organisations in one daemon. */
+/** Creates and connects the components that check the API keys and quotas of organisations in one daemon. */
 import { type DecisionTrace, QuotaGate, Authenticator } from '@cleatquay/calls';
 import { type Clock, type Random } from '@cleatquay/clock';
 import { Freshness, type ConfigurationVersion } from '@cleatquay/configuration';
@@ -31,7 +31,7 @@
 export class OrganisationServices implements AsyncDisposable {
   readonly freshness: Freshness;
   readonly counts = new OrganisationCounts();
-  readonly senders: Authenticator;
+  readonly authenticator: Authenticator;
   /** Undefined if keys are accepted without a freshness proof. */
   proofRenewer: ProofRenewer | undefined;
   /** Created once the daemon listens for its peers. */
@@ -40,7 +40,7 @@
   constructor(private readonly options: OrganisationServicesOptions) {
     const { clock, random, configuration } = options;
     this.freshness = new Freshness(clock, configuration);
-    this.senders = new Authenticator({
+    this.authenticator = new Authenticator({
       random,
       areRevocationsCurrent: () => this.proofRenewer?.hasValidProof ?? true,
     });
@@ -54,8 +54,8 @@
   /** Handlers for the quota messages that membership receives. */
   get quotaHandlers(): QuotaHandlers {
     return {
-      handleRequest: (question, from) => this.quotas.handleRequest(question, from),
-      handleResponse: (answer, from) => this.quotas.handleResponse(answer, from),
+      handleRequest: (request, from) => this.quotas.handleRequest(request, from),
+      handleResponse: (response, from) => this.quotas.handleResponse(response, from),
     };
   }
 
@@ -66,10 +66,10 @@
   }
 
   /** Creates the gate that applies quotas to requests. */
-  createQuotaGate(journal: DecisionTrace): QuotaGate {
+  createQuotaGate(decisionTrace: DecisionTrace): QuotaGate {
     return new QuotaGate({
       clock: this.options.clock,
-      journal,
+      journal: decisionTrace,
       quotas: () => this.quotas,
       counts: this.counts,
       proofAgeMs: () => this.freshness.ageMs,
--- a/packages/daemon/src/platformReaders.ts
+++ b/packages/daemon/src/platformReaders.ts
@@ -1,7 +1,7 @@
 /**
  * Selects the daemons that read the platform: a few of each failure domain, in the order of a hash, so that no election
- * is needed. From this follows for one daemon whether it reads, which peers it asks for what others have read, and how
- * long it waits before it asks.
+ * is needed. From this follows for one daemon whether it reads, from which peers it fetches what others have read, and
+ * how long it waits before it fetches.
  */
 import { type Clock } from '@cleatquay/clock';
 import { type Membership } from '@cleatquay/membership';
@@ -40,14 +40,14 @@
 const RETRY_DELAY_PER_READER_MS = 1000;
 /** Assumed number of readers for the wait of a daemon that is not a reader. */
 const TYPICAL_READERS = 6;
-/** Maximum number of daemons that ask the same daemon for freshness proofs. For readers it applies to each. */
-const MAX_ASKERS_PER_DAEMON = 16;
+/** Maximum number of daemons that request freshness proofs from the same daemon, per reader if they request them from readers. */
+const MAX_REQUESTERS_PER_DAEMON = 16;
 /** A daemon that received nothing from others for this time reads for itself, ms. Otherwise there are about two messages a second. */
 const ISOLATED_AFTER_MS = 1500;
 
 /**
- * Returns the readers of a failure domain in this view of the fleet: two whose reads succeed or, if there are none, all
- * readers and fallback readers. If the views of two daemons differ, that only causes some additional reads.
+ * Returns the readers of a failure domain in this view of the fleet: up to two whose reads succeed or, if there are none,
+ * all readers and fallback readers. If the views of two daemons differ, that only causes some additional reads.
  */
 export function platformReadersOf(failureDomain: string, members: Iterable<Member>): string[] {
   const candidates = rankedMembers(failureDomain, members).slice(0, READERS_PER_DOMAIN + FALLBACK_READERS);
@@ -100,13 +100,13 @@
   }
 
   /**
-   * Returns the order in which to ask peers for a version that `holders` report to have: first the holders in this
-   * failure domain, then its readers, which most likely have read it as well, and last the holders elsewhere, since
-   * traffic between failure domains is expensive.
+   * Returns the order in which to fetch a version that `candidates` report to have: first the candidates in this failure
+   * domain, then its readers, which most likely have read it as well, and last the candidates in others, since traffic
+   * between failure domains is expensive.
    */
-  fetchOrder(holders: readonly string[]): readonly string[] {
-    const sameDomain = holders.filter(peer => this.isInSameDomain(peer));
-    const otherDomain = holders.filter(peer => !this.isInSameDomain(peer));
+  fetchOrder(candidates: readonly string[]): readonly string[] {
+    const sameDomain = candidates.filter(peer => this.isInSameDomain(peer));
+    const otherDomain = candidates.filter(peer => !this.isInSameDomain(peer));
     const readers = this.sameDomainReaders.filter(address => address !== this.membership.me.address);
     return [...new Set([...sameDomain, ...readers, ...otherDomain])];
   }
@@ -130,17 +130,20 @@
   }
 
   /**
-   * The daemons that this one asks for freshness proofs: the readers of its failure domain, or in a large one a daemon
-   * that ranks between them and this one, so that no daemon is asked by too many.
+   * The daemons from which this one requests freshness proofs: the readers of its failure domain, or in a large one a
+   * daemon that ranks between them and this one, so that no daemon receives too many requests.
    */
   get proofSources(): readonly string[] {
     const { sameDomainReaders } = this;
     const others = sameDomainReaders.filter(address => address !== this.membership.me.address);
     const ranked = rankedMembers(this.failureDomain, this.membership.table.all());
     const position = ranked.findIndex(({ address }) => address === this.membership.me.address);
-    if (position < (MAX_ASKERS_PER_DAEMON + 1) * sameDomainReaders.length) return others;
+    if (position < (MAX_REQUESTERS_PER_DAEMON + 1) * sameDomainReaders.length) return others;
     return ranked
-      .slice(Math.floor(position / MAX_ASKERS_PER_DAEMON), Math.floor(position / MAX_ASKERS_PER_DAEMON) + 1)
+      .slice(
+        Math.floor(position / MAX_REQUESTERS_PER_DAEMON),
+        Math.floor(position / MAX_REQUESTERS_PER_DAEMON) + 1,
+      )
       .map(({ address }) => address);
   }
 
--- a/packages/daemon/src/proofRenewer.ts
+++ b/packages/daemon/src/proofRenewer.ts
@@ -1,7 +1,7 @@
 /**
  * Keeps the freshness proof of the configuration recent. A proof shows that the active configuration was the newest one
- * at some moment. The daemon asks the daemons that read the platform for its failure domain, and any other daemon if
- * these don't help. Logs when API keys are no longer accepted for lack of a proof, and when they are accepted again.
+ * at some moment. The daemon requests proofs from the proof sources of its failure domain, and from any other daemon,
+ * too, if these don't help. Logs when API keys are no longer accepted for lack of a proof, and when they are accepted again.
  */
 import { type Clock, type Random } from '@cleatquay/clock';
 import { type Freshness } from '@cleatquay/configuration';
@@ -9,10 +9,10 @@
 import { type PlatformReaders } from './platformReaders.js';
 
 /**
- * Fractions of the revocation time: how often a daemon asks for a proof, how often one daemon of each failure domain
+ * Fractions of the revocation time: how often a daemon requests a proof, how often one daemon of each failure domain
  * reads the platform, and how long the other readers wait there for a change.
  */
-const ASK_INTERVAL_RATIO = 1 / 12;
+const REQUEST_INTERVAL_RATIO = 1 / 12;
 const READ_INTERVAL_RATIO = 1 / 4;
 const MAX_WAIT_RATIO = 1 / 2;
 /** A proof as old as this fraction of the revocation time means that the proof sources don't help. */
@@ -79,7 +79,7 @@
     const { clock, revocationMs, needsKeys } = this.options;
     while (!this.stopped.signal.aborted) {
       if (needsKeys()) this.renew();
-      await clock.sleep(revocationMs * ASK_INTERVAL_RATIO, this.stopped.signal);
+      await clock.sleep(revocationMs * REQUEST_INTERVAL_RATIO, this.stopped.signal);
     }
   }
 
@@ -87,7 +87,7 @@
     const { freshness, revocationMs, readers, random, membership } = this.options;
     const { ageMs } = freshness;
     this.logTransition(ageMs);
-    if (ageMs < revocationMs * ASK_INTERVAL_RATIO) return;
+    if (ageMs < revocationMs * REQUEST_INTERVAL_RATIO) return;
     const { proofSources } = readers;
     const source = proofSources[Math.floor(random() * proofSources.length)];
     const sourceAddress = membership.table.get(source ?? '')?.gossipAddress;
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -116,7 +116,7 @@
   /** Whether it has read the list of daemons from the platform. */
   private hasFleetView = false;
   private shutdownStartedAt: number | undefined;
-  /** Clock time at which it stops waiting for requests in flight, ms; after the drain, the time at which the drain ended. */
+  /** Monotonic time at which the drain stops waiting for requests in flight, ms; after the drain, the time at which the drain ended. */
   private drainDeadline = Number.POSITIVE_INFINITY;
 
   private constructor(private readonly options: RelayDaemonOptions) {
@@ -301,7 +301,7 @@
         const refusal = createRefusal('innerMessageInvalid', 'This daemon does not issue request ids.');
         return Promise.resolve(singlePartResponse(refusalPart(refusal, 0)));
       },
-      answerConfiguration: request => this.configuration.createResponse(request),
+      createConfigurationResponse: request => this.configuration.createResponse(request),
       freshness: this.organisations.freshness,
       quotas: this.organisations.quotaHandlers,
       onPeerConfiguration: (reported, peer) => this.distribution.handleAnnouncement(reported, peer),
@@ -319,7 +319,7 @@
       originService: settings.service,
       running: this.core.running,
       learnedCalls: this.learnedCalls,
-      authenticator: this.organisations.senders,
+      authenticator: this.organisations.authenticator,
       quotaGate: this.organisations.createQuotaGate(this.core.decisionTrace),
       pressureLevel: () => this.pressure.level,
       timeLeftMs: () => this.drainDeadline - clock.now(),
@@ -388,7 +388,7 @@
         ),
       readIntervalMs: () => this.organisations.proofRenewer?.readIntervalMs,
       retryDelayMs: () => this.readers.retryDelayMs,
-      onReachability: isReached => this.membership.setPlatformLost(!isReached),
+      onReachability: isReachable => this.membership.setPlatformLost(!isReachable),
       log: (message, facts) => this.configurationLog.info(facts, `Configuration: ${message}`),
     });
   }
@@ -405,7 +405,7 @@
       onReachability: () => undefined,
       fetchDelayMs: peer => this.readers.fetchDelayMs(peer),
       fetch: (peer, request) => this.core.peers.fetchConfiguration(peer, request),
-      fetchOrder: holders => this.readers.fetchOrder(holders),
+      fetchOrder: candidates => this.readers.fetchOrder(candidates),
       onPeerFailure: (peer, reason) => logPeerFetchFailure(this.configurationLog, peer, reason),
       onDigestMismatch: peer => {
         logDigestMismatch(this.configurationLog, this.configuration, peer);
--- a/packages/membership/src/broadcastQueue.ts
+++ b/packages/membership/src/broadcastQueue.ts
@@ -18,7 +18,7 @@
 export class BroadcastQueue<T> {
   private readonly entries = new Map<string, QueuedItem<T>>();
 
-  constructor(private readonly kind: ItemType<T>) {}
+  constructor(private readonly itemType: ItemType<T>) {}
 
   get size(): number {
     return this.entries.size;
@@ -26,7 +26,7 @@
 
   /** Queues an item; it replaces one with the same key. */
   add(item: T): void {
-    const { keyOf, sizeOf } = this.kind;
+    const { keyOf, sizeOf } = this.itemType;
     this.entries.set(keyOf(item), { item, bytes: sizeOf(item) + FRAMING_BYTES, sent: 0 });
   }
 
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -69,7 +69,7 @@
     keyOf: finding => Buffer.from(Finding.encode(finding).finish()).toString('base64'),
     sizeOf: finding => Finding.encode(finding).finish().length,
   });
-  /** When all verdicts were last sent to each gossip address, clock ms. */
+  /** Monotonic time at which all verdicts were last sent to each gossip address, ms. */
   private readonly verdictsSentAt = new Map<string, number>();
   private readonly stopped = new AbortController();
   private probeOrder: string[] = [];
@@ -126,7 +126,7 @@
     ).length;
   }
 
-  /** Clock time at which a datagram was last received, ms; initially that of the start. */
+  /** Monotonic time at which a datagram was last received, ms; initially that of the start. */
   get lastHeardAt(): number {
     return this.receivedAt;
   }
@@ -143,8 +143,8 @@
   }
 
   /**
-   * Broadcasts a finding to the fleet. A finding that incriminates a request is sent to a few members immediately, and forwarded by them at
-   * once: callers retry failed requests within a few ms, at other daemons.
+   * Broadcasts a finding to the fleet. Unless it only clears a request of crashes, it is sent to a few members immediately, and forwarded by
+   * them at once: callers retry failed requests within a few ms, at other daemons.
    */
   broadcast(finding: Finding): void {
     this.findingBroadcasts.add(finding);
@@ -157,7 +157,7 @@
     if (isPlatformLost !== this.self.isPlatformLost) this.assertSelf({ isPlatformLost });
   }
 
-  /** Announces that this daemon leaves, so that the others need not detect it. */
+  /** Announces that this daemon leaves the fleet, so that the others need not detect it. */
   leave(): void {
     this.assertSelf({ state: 'LEFT' });
     for (const peer of this.randomAlive(FANOUT * 2)) this.send(peer.gossipAddress, {});
@@ -211,8 +211,8 @@
     });
     if (await acknowledged) return this.health.recordSuccess();
     this.health.recordFailure();
-    const overslept = clock.now() - start > 2 * timeout + PROBE_INTERVAL_MS;
-    if (!overslept) this.suspect(target);
+    const wasSuspended = clock.now() - start > 2 * timeout + PROBE_INTERVAL_MS;
+    if (!wasSuspended) this.suspect(target);
   }
 
   /** Requests a freshness proof from a member by a probe; the proof arrives with the acknowledgement. */
@@ -221,13 +221,13 @@
   }
 
   /** Requests quota capacity from the member with a gossip address. */
-  sendQuotaRequest(to: string, quotaQuestion: QuotaQuestion): void {
-    this.send(to, { quotaQuestion });
+  sendQuotaRequest(to: string, request: QuotaQuestion): void {
+    this.send(to, { quotaQuestion: request });
   }
 
-  /** Responds to such a request. */
-  sendQuotaResponse(to: string, quotaAnswer: QuotaAnswer): void {
-    this.send(to, { quotaAnswer });
+  /** Responds to a request for quota capacity. */
+  sendQuotaResponse(to: string, response: QuotaAnswer): void {
+    this.send(to, { quotaAnswer: response });
   }
 
   private ping(to: string, timeout: number): Promise<boolean> {
@@ -278,12 +278,13 @@
   }
 
   /** Refutes a record about this daemon from others that has a worse state, or stems from an earlier process at this address. */
-  private refute(claim: Member): void {
-    if (claim.epoch > this.self.epoch) return this.assertSelf({ epoch: claim.epoch + 1 });
-    const accused = claim.epoch === this.self.epoch && claim.state !== 'ALIVE' && this.self.state === 'ALIVE';
-    if (!accused || claim.incarnation < this.self.incarnation) return;
+  private refute(record: Member): void {
+    if (record.epoch > this.self.epoch) return this.assertSelf({ epoch: record.epoch + 1 });
+    const isAccused =
+      record.epoch === this.self.epoch && record.state !== 'ALIVE' && this.self.state === 'ALIVE';
+    if (!isAccused || record.incarnation < this.self.incarnation) return;
     this.health.recordFailure();
-    this.assertSelf({ incarnation: claim.incarnation });
+    this.assertSelf({ incarnation: record.incarnation });
   }
 
   private assertSelf(change: Partial<Member>): void {
@@ -377,7 +378,7 @@
     });
   }
 
-  /** A sender that is taken for dead receives its record, so that it can refute it. */
+  /** A sender that this daemon takes for suspect, dead or left receives its record, so that it can refute it. */
   private acknowledgePing(ping: Ping, from: string): void {
     const sender = this.table.getByGossipAddress(from);
     const update = sender && sender.state !== 'ALIVE' ? [sender] : undefined;
@@ -393,9 +394,9 @@
   private syncWithRandomMember(): void {
     const { random, seeds } = this.options;
     const gone = [...this.goneSince.keys()];
-    const lost = gone[Math.floor(random() * gone.length)];
-    if (lost !== undefined && random() < SYNC_WITH_GONE_PROBABILITY) {
-      this.sendSync(this.table.get(lost)?.gossipAddress ?? '', true);
+    const goneAddress = gone[Math.floor(random() * gone.length)];
+    if (goneAddress !== undefined && random() < SYNC_WITH_GONE_PROBABILITY) {
+      this.sendSync(this.table.get(goneAddress)?.gossipAddress ?? '', true);
       return;
     }
     const seed = seeds[Math.floor(random() * seeds.length)];
@@ -489,7 +490,7 @@
   return member.state === 'ALIVE' || member.state === 'SUSPECT';
 }
 
-/** Older proofs are too old to be of use, ms. */
+/** Proofs of this age or more are not sent, since they are too old to be of use, ms. */
 const MAX_PROOF_AGE_MS = 60_000;
 /** Optional fields of a datagram besides updates. */
 type GossipFields = Partial<Pick<Gossip, 'ping' | 'ack' | 'sync' | 'bulk' | 'quotaQuestion' | 'quotaAnswer'>>;
--- a/packages/membership/src/membershipOptions.ts
+++ b/packages/membership/src/membershipOptions.ts
@@ -32,8 +32,8 @@
 
 /** Requests for quota capacity and their responses, which travel in gossip datagrams. */
 export interface QuotaHandlers {
-  readonly handleRequest: (question: QuotaQuestion, from: string) => void;
-  readonly handleResponse: (answer: QuotaAnswer, from: string) => void;
+  readonly handleRequest: (request: QuotaQuestion, from: string) => void;
+  readonly handleResponse: (response: QuotaAnswer, from: string) => void;
 }
 
 /** Options of a daemon's membership. */
--- a/packages/membership/src/peerDiscovery.ts
+++ b/packages/membership/src/peerDiscovery.ts
@@ -15,7 +15,7 @@
 const ALONE_INTERVAL_MS = 1000;
 /** Interval of rounds of a daemon that maintains the table, ms. Gossip finds new daemons much sooner; a round costs a read. */
 const MAINTENANCE_INTERVAL_MS = 15_000;
-/** Interval of rounds of the other daemons, ms: they only check that their own row is still there. */
+/** Interval of rounds of the other daemons, ms: they mainly check that their own row is still there. */
 const OWN_ROW_INTERVAL_MS = 60_000;
 /** The row of a member is removed after gossip has seen it DEAD or LEFT for so long, ms. */
 const REMOVE_AFTER_MS = 60_000;
@@ -93,7 +93,7 @@
   /** The state to persist in this daemon's row. */
   readonly persisted: () => PersistedState;
   /** Called once with the state that an earlier process of this daemon recorded, if there is any. */
-  readonly onRestore: (former: PersistedState) => void;
+  readonly onRestore: (recorded: PersistedState) => void;
   readonly log: (message: string, facts: object) => void;
 }
 
@@ -112,7 +112,7 @@
   private writtenChanges = 0;
   /** Ends the delay between two rounds. */
   private delayAborter = new AbortController();
-  private isLost = false;
+  private isTableUnreachable = false;
   private resolveFirstRound: () => void = () => undefined;
   /** Resolves after the first successful round. */
   readonly firstRoundDone = new Promise<void>(resolve => (this.resolveFirstRound = resolve));
@@ -132,12 +132,12 @@
     const { clock, log } = this.options;
     this.changes++;
     if (!this.hasCreated) return;
-    const limit = new AbortController();
+    const timeout = new AbortController();
     const timer = clock.after(RECORD_TIMEOUT_MS, () =>
-      limit.abort(new Error('The table did not respond in time.')),
+      timeout.abort(new Error('The table did not respond in time.')),
     );
     try {
-      await this.write(limit.signal);
+      await this.write(timeout.signal);
     } catch (error) {
       this.delayAborter.abort();
       log('Failed to write the own row; retrying.', { reason: asFailure(error).describe() });
@@ -157,8 +157,8 @@
     while (!signal.aborted) {
       await this.runRound(signal);
       this.delayAborter = new AbortController();
-      const untilWoken = AbortSignal.any([signal, this.delayAborter.signal]);
-      await clock.sleep(this.intervalMs() * (0.75 + random() / 2), untilWoken);
+      const wakeSignal = AbortSignal.any([signal, this.delayAborter.signal]);
+      await clock.sleep(this.intervalMs() * (0.75 + random() / 2), wakeSignal);
     }
   }
 
@@ -183,13 +183,13 @@
       this.hasRow = own?.gossipAddress === gossipAddress;
       this.options.membership.join(this.othersIn(rows));
       await this.removeGone(rows, signal);
-      if (this.isLost) log('The table is reachable again.', { rows: rows.length });
-      this.isLost = false;
+      if (this.isTableUnreachable) log('The table is reachable again.', { rows: rows.length });
+      this.isTableUnreachable = false;
       this.resolveFirstRound();
     } catch (error) {
-      if (!this.isLost && !signal.aborted)
+      if (!this.isTableUnreachable && !signal.aborted)
         log('The table is unreachable.', { reason: asFailure(error).describe() });
-      this.isLost = true;
+      this.isTableUnreachable = true;
     }
   }
 
