--- a/packages/daemon/src/proofRenewer.ts
+++ b/packages/daemon/src/proofRenewer.ts
@@ -26,7 +26,7 @@
   readonly random: Random;
   readonly freshness: Freshness;
   readonly readers: Pick<PlatformReaders, 'proofSources' | 'isReader' | 'isFirstReader'>;
-  readonly membership: Pick<Membership, 'ask' | 'randomAlive' | 'table'>;
+  readonly membership: Pick<Membership, 'requestProof' | 'randomAlive' | 'table'>;
   /** Longest time for which a key may be accepted after it was revoked, ms. */
   readonly revocationMs: number;
   /** Whether requests need keys. */
@@ -91,9 +91,9 @@
     const { proofSources } = readers;
     const source = proofSources[Math.floor(random() * proofSources.length)];
     const sourceAddress = membership.table.get(source ?? '')?.gossipAddress;
-    if (sourceAddress !== undefined) membership.ask(sourceAddress);
+    if (sourceAddress !== undefined) membership.requestProof(sourceAddress);
     if (ageMs < revocationMs * STALE_RATIO) return;
-    for (const { gossipAddress } of membership.randomAlive(1)) membership.ask(gossipAddress);
+    for (const { gossipAddress } of membership.randomAlive(1)) membership.requestProof(gossipAddress);
   }
 
   private logTransition(ageMs: number): void {
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -216,7 +216,7 @@
   }
 
   /** Requests a freshness proof from a member by a probe; the proof arrives with the acknowledgement. */
-  ask(gossipAddress: string): void {
+  requestProof(gossipAddress: string): void {
     void this.ping(gossipAddress, ACK_TIMEOUT_MS);
   }
 
