--- a/packages/configuration/src/configurationWatcher.ts
+++ b/packages/configuration/src/configurationWatcher.ts
@@ -15,7 +15,8 @@
 
 /**
  * A daemon whose reads failed, and which therefore leaves the source to others, retries after so long, ms; after a success it can be a
- * platform reader again. In a failure domain at most six daemons do so (`platformReaders.ts`).
+ * platform reader again. These are the readers and fallback readers of a failure domain, at most six (`platformReaders.ts`), and, as an
+ * outage lasts, the daemons whose read after `FALLBACK_READ_MS`, or in isolation, has failed.
  */
 const UNREACHABLE_READ_MS = 5000;
 
--- a/packages/daemon/src/daemonCore.ts
+++ b/packages/daemon/src/daemonCore.ts
@@ -48,7 +48,7 @@
 /** How long a downstream level is cached, ms: less than a round trip, since a new one arrives after that at the earliest. */
 const DOWNSTREAM_LEVEL_CACHE_MS = 5;
 
-/** Requests that the log line about the crash of an upstream names, at most. */
+/** Maximum number of requests that the log line about the crash of an upstream names, the last ones. */
 const MAX_LOGGED_REQUESTS = 10;
 const CRASH_MESSAGE = 'Upstreams: An upstream crashed with requests in flight.';
 
@@ -76,7 +76,7 @@
   readonly healthPath: (service: string) => string | undefined;
   readonly dialect: UpstreamDialect;
   readonly retries: RetryBudget;
-  /** Refusals by peers after which a call is rerouted without spending a retry, at most. */
+  /** Maximum number of refusals by peers after which a call is rerouted without spending a retry. */
   readonly freeReroutes: number;
   /** Whether the signals given to the forwarder abort at the deadline of the call. */
   readonly signalsEnforceDeadline: boolean;
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -112,8 +112,9 @@
   private inFlight = 0;
   /** Number of priority classes of the active configuration. */
   private priorityClasses = 1;
+  /** Whether the first discovery round has succeeded, or has taken longer than `DISCOVERY_TIMEOUT_MS`. */
   private isDiscoveryDone = false;
-  /** Whether it has read the list of daemons from the platform. */
+  /** Whether the list of daemons was read from the platform: the first discovery round has succeeded. */
   private hasFleetView = false;
   private shutdownStartedAt: number | undefined;
   /** Monotonic time at which the drain stops waiting for requests in flight, ms; after the drain, the time at which the drain ended. */
--- a/packages/membership/src/peerDiscovery.ts
+++ b/packages/membership/src/peerDiscovery.ts
@@ -13,7 +13,7 @@
 const RETRY_DELAY_MS = 700;
 /** Interval of rounds while no other member is alive, ms. */
 const ALONE_INTERVAL_MS = 1000;
-/** Interval of rounds of a daemon that maintains the table, ms. Gossip finds new daemons much sooner; a round costs a read. */
+/** Interval of rounds of daemons for which `maintainsTable` holds, ms. Gossip finds new daemons much sooner; a round costs a read. */
 const MAINTENANCE_INTERVAL_MS = 15_000;
 /** Interval of rounds of the other daemons, ms: they mainly check that their own row is still there. */
 const OWN_ROW_INTERVAL_MS = 60_000;
@@ -88,7 +88,7 @@
   readonly random: Random;
   readonly table: DiscoveryTable;
   readonly membership: Membership;
-  /** Whether this daemon maintains the table for its failure domain. */
+  /** Whether this daemon is one of the few of its failure domain that run rounds at the shorter `MAINTENANCE_INTERVAL_MS`. */
   readonly maintainsTable: () => boolean;
   /** The state to persist in this daemon's row. */
   readonly persisted: () => PersistedState;
