--- a/packages/admission/src/adaptiveLimit.ts
+++ b/packages/admission/src/adaptiveLimit.ts
@@ -7,7 +7,7 @@
 const MIN_DECREASE_INTERVAL_MS = 100;
 /**
  * The limit never falls below this ratio of the announced slots. An upstream that sheds below it sheds for another reason
- * than load, and a lower limit doesn't help it. Guards against: an upstream that refuses a share of all requests while its
+ * than load, and a lower limit doesn't help it. Guards against: an upstream that refuses some ratio of all requests while its
  * whole capacity is needed.
  */
 const MIN_SLOTS_RATIO = 0.9;
@@ -41,9 +41,9 @@
     return inFlight / this.slots;
   }
 
-  /** Records the duration of a run that made no calls; see SaturationDetector. */
-  recordRun(route: string, share: number, ms: number): void {
-    this.saturation.recordRun(route, share, ms);
+  /** Records the duration of a run that made no calls, by the utilisation at its start; see SaturationDetector. */
+  recordRun(route: string, utilisation: number, ms: number): void {
+    this.saturation.recordRun(route, utilisation, ms);
   }
 
   /** Applies newly announced slots; keeps the ratio of the limit to them. */
--- a/packages/admission/src/admission.ts
+++ b/packages/admission/src/admission.ts
@@ -17,7 +17,7 @@
 const MAX_RETRY_AFTER_MS = 10_000;
 const MS_PER_SECOND = 1000;
 
-/** How the work under a permit ended. */
+/** How the request that held a permit ended: it got a response, the upstream shed it, or it failed. */
 export type PermitResult = 'answered' | 'shed' | 'failed';
 
 /** Permission to run one request on the upstream; holds one slot. */
@@ -46,7 +46,7 @@
 interface QueuedRequest {
   readonly level: number;
   readonly enqueuedAt: number;
-  /** Clock time after which the request would miss its deadline if it started. */
+  /** Latest start, clock time: later, it would have to end in less than half of the mean latency to meet its deadline. */
   readonly latestStartAt: number;
   readonly settle: (result: Permit | Refusal) => void;
 }
@@ -181,7 +181,7 @@
     return Math.min(Math.max(MIN_QUEUE_LENGTH, byConcurrency), Math.floor(this.rate.tokensWithin(delayMs)));
   }
 
-  /** Refuses the request of lowest priority if the top class, or all the others, exceed their part of the queue. */
+  /** Refuses the request of lowest priority if the top class, or all the others, exceed their maximum queue length. */
   private evictIfFull(): void {
     const top = this.topClassCount();
     const isFull = this.queue.length - top > this.maxQueueLength(false) || top > this.maxQueueLength(true);
@@ -250,8 +250,9 @@
   private tick(): void {
     this.timer = undefined;
     const now = this.options.clock.now();
-    const isOld = ({ level, enqueuedAt }: QueuedRequest) => now - enqueuedAt > 2 * this.maxDelayMs(level < 1);
-    for (const request of this.queue.filter(isOld)) {
+    const isOverdue = ({ level, enqueuedAt }: QueuedRequest) =>
+      now - enqueuedAt > 2 * this.maxDelayMs(level < 1);
+    for (const request of this.queue.filter(isOverdue)) {
       this.queue.splice(this.queue.indexOf(request), 1);
       this.refuse(request);
     }
--- a/packages/admission/src/rateLimit.ts
+++ b/packages/admission/src/rateLimit.ts
@@ -40,12 +40,12 @@
   }
 
   /**
-   * Removes the limit after a response without a rate. A response to a request that was sent (`askedAt`, by `awake`) before the
+   * Removes the limit after a response without a rate. A response to a request that was sent (`sentAt`, by `awake`) before the
    * rate was last reported is ignored, since responses may arrive out of order.
    */
-  onRateAbsent(askedAt: number): void {
+  onRateAbsent(sentAt: number): void {
     this.hasResponded = true;
-    if (askedAt > this.rateReceivedAt) this.rate = undefined;
+    if (sentAt > this.rateReceivedAt) this.rate = undefined;
   }
 
   /** Applies a rate that a peer reports; ignored once the upstream has responded to this process. */
@@ -95,9 +95,9 @@
 
   private refill(): void {
     const now = this.clock.awake();
-    const gained = ((this.rate ?? 0) * (now - this.refilledAt)) / MS_PER_SECOND;
+    const added = ((this.rate ?? 0) * (now - this.refilledAt)) / MS_PER_SECOND;
     this.refilledAt = now;
-    this.tokens = Math.min(this.maxTokens, this.tokens + gained);
+    this.tokens = Math.min(this.maxTokens, this.tokens + added);
   }
 
   /** At least one, so that a rate below two per second allows requests at all. */
--- a/packages/admission/src/requestLevel.ts
+++ b/packages/admission/src/requestLevel.ts
@@ -38,7 +38,7 @@
 
 /**
  * The level that a daemon compares with the reported admission levels of upstreams before it forwards a call. A call of a
- * running request is held back only if the service admits nothing (0); otherwise it is queued at the upstream by its own
+ * running request is refused only if the service admits nothing (0); otherwise it is queued at the upstream by its own
  * level. Only root requests are refused by reported admission levels, before any work is done for them.
  *
  * Guards against: more call chains than the last service of the chain has capacity for. Its admission level is some 100 ms
--- a/packages/admission/src/routeCosts.ts
+++ b/packages/admission/src/routeCosts.ts
@@ -41,8 +41,8 @@
   queueLevel(route: string, level: number): number {
     const rank = Math.floor(level);
     const fraction = level - rank;
-    const moved = Math.min(fraction ** (1 / this.exponent(route)), fraction / MIN_ADMISSION_RATIO);
-    return rank + Math.min(MAX_FRACTION, Math.max(fraction, moved));
+    const adjusted = Math.min(fraction ** (1 / this.exponent(route)), fraction / MIN_ADMISSION_RATIO);
+    return rank + Math.min(MAX_FRACTION, Math.max(fraction, adjusted));
   }
 
   /** The admission level for root requests of the route, given the admission level of the queue; the inverse of the queue level. */
--- a/packages/admission/src/saturationDetector.ts
+++ b/packages/admission/src/saturationDetector.ts
@@ -52,13 +52,13 @@
   }
 
   /**
-   * Records a run by the utilisation (`share`) at its start and its duration. Only for runs that made no calls: the duration of others depends
+   * Records a run by the utilisation at its start and its duration. Only for runs that made no calls: the duration of others depends
    * on the services that they called.
    */
-  recordRun(route: string, share: number, ms: number): void {
+  recordRun(route: string, utilisation: number, ms: number): void {
     const times = this.timesOf(route);
-    if (share >= FULL_UTILISATION) add(times.full, ms);
-    else if (share >= PARTIAL_UTILISATION) add(times.partial, ms);
+    if (utilisation >= FULL_UTILISATION) add(times.full, ms);
+    else if (utilisation >= PARTIAL_UTILISATION) add(times.partial, ms);
     else return;
     const factor = this.slowdownWhenFull();
     const intervalMs = factor === undefined ? INITIAL_TRIAL_INTERVAL_MS : TRIAL_INTERVAL_MS;
@@ -67,17 +67,17 @@
     this.slotsRatio = isSlower === isTrial ? 1 : REDUCED_SLOTS_RATIO;
   }
 
-  /** Ratio of run durations when full to those when partly utilised; undefined if there are too few runs. */
+  /** Ratio of run durations at full to those at partial utilisation; undefined if there are too few runs. */
   private slowdownWhenFull(): number | undefined {
-    let partlyMs = 0;
+    let partialMs = 0;
     let fullMs = 0;
-    for (const { partial: partly, full } of this.routes.values()) {
-      if (Math.min(partly.runs, full.runs) < MIN_RUNS) continue;
-      const runs = partly.runs + full.runs;
-      partlyMs += runs * partly.ms;
+    for (const { partial, full } of this.routes.values()) {
+      if (Math.min(partial.runs, full.runs) < MIN_RUNS) continue;
+      const runs = partial.runs + full.runs;
+      partialMs += runs * partial.ms;
       fullMs += runs * full.ms;
     }
-    return partlyMs === 0 ? undefined : fullMs / partlyMs;
+    return partialMs === 0 ? undefined : fullMs / partialMs;
   }
 
   private timesOf(route: string): RouteTimes {
--- a/packages/calls/src/fleetRetryBudget.ts
+++ b/packages/calls/src/fleetRetryBudget.ts
@@ -7,7 +7,7 @@
 import { type Retry, type RetryBudget } from './tokenBucketRetryBudget.js';
 
 /**
- * Ratio of the budget that is spent on retries. The rest covers daemons that had to send more retries than their share,
+ * Ratio of the budget that is spent on retries. The rest covers daemons that had to send more retries than others,
  * since requests that are retries, and make their calls again, are not spread evenly over daemons.
  */
 const USABLE_RATIO = 0.8;
@@ -46,7 +46,7 @@
   /** Retries of attempts that may have run. */
   mayHaveRunRetries: number;
   /** Retries requested, whether granted or not. */
-  wantedRetries: number;
+  requestedRetries: number;
 }
 
 /** The retry budget of one daemon. */
@@ -72,7 +72,7 @@
 
   take(service: string, { previousOutcome, callsBefore }: Retry): boolean {
     const current = this.currentBucket(service);
-    current.wantedRetries++;
+    current.requestedRetries++;
     const { ratio, extra } = this.bounds;
     let requests = 0;
     let otherRetries = 0;
@@ -83,8 +83,8 @@
       mayHaveRunRetries += bucket.mayHaveRunRetries;
     }
     const maxRetries = requests * ratio + (extra * FIXED_RATIO) / Math.max(1, this.daemons());
-    const share = this.isScarce(service) ? scarceRatio(callsBefore) : USABLE_RATIO;
-    if (otherRetries + mayHaveRunRetries + 1 > maxRetries * share) return false;
+    const usableRatio = this.isScarce(service) ? scarceRatio(callsBefore) : USABLE_RATIO;
+    if (otherRetries + mayHaveRunRetries + 1 > maxRetries * usableRatio) return false;
     if (previousOutcome === 'may-have-run' && mayHaveRunRetries + 1 > maxRetries * MAY_HAVE_RUN_RATIO)
       return false;
     if (previousOutcome === 'may-have-run') current.mayHaveRunRetries++;
@@ -96,11 +96,11 @@
   private isScarce(service: string): boolean {
     const latest = (this.buckets.get(service) ?? []).slice(-SCARCITY_BUCKETS);
     const requests = latest.reduce((sum, bucket) => sum + bucket.requests, 0);
-    const wantedRetries = latest.reduce((sum, bucket) => sum + bucket.wantedRetries, 0);
-    return wantedRetries > requests * this.bounds.ratio * USABLE_RATIO;
+    const requestedRetries = latest.reduce((sum, bucket) => sum + bucket.requestedRetries, 0);
+    return requestedRetries > requests * this.bounds.ratio * USABLE_RATIO;
   }
 
-  /** The current bucket; drops buckets that have left the window. */
+  /** The current bucket; removes buckets that have left the window. */
   private currentBucket(service: string): Bucket {
     const index = Math.floor((this.clock.now() * BUCKETS_PER_WINDOW) / this.bounds.windowMs);
     let buckets = this.buckets.get(service);
@@ -108,7 +108,7 @@
     const last = buckets.at(-1);
     if (last?.index === index) return last;
     while (buckets[0] && buckets[0].index < index - BUCKETS_PER_WINDOW) buckets.shift();
-    const bucket: Bucket = { index, requests: 0, otherRetries: 0, mayHaveRunRetries: 0, wantedRetries: 0 };
+    const bucket: Bucket = { index, requests: 0, otherRetries: 0, mayHaveRunRetries: 0, requestedRetries: 0 };
     buckets.push(bucket);
     return bucket;
   }
--- a/packages/calls/src/headCompression.ts
+++ b/packages/calls/src/headCompression.ts
@@ -29,10 +29,10 @@
     if (!context || context.toHome) return { ...NO_HEAD, head };
     const template = templateOf(head, context);
     const key = templateKey(template);
-    const known = this.numberByKey.get(key);
-    const number = known ?? this.numberByKey.size + 1;
+    const existing = this.numberByKey.get(key);
+    const number = existing ?? this.numberByKey.size + 1;
     if (number > MAX_TEMPLATES) return { ...NO_HEAD, head };
-    if (known === undefined) this.numberByKey.set(key, number);
+    if (existing === undefined) this.numberByKey.set(key, number);
     const { requestId, rootId } = context;
     const rootLength = requestId.startsWith(rootId) ? rootId.length : 0;
     return {
@@ -54,7 +54,7 @@
         },
       },
       template: number,
-      definition: known === undefined ? template : undefined,
+      definition: existing === undefined ? template : undefined,
       rootLength,
     };
   }
--- a/packages/calls/src/learnedCalls.ts
+++ b/packages/calls/src/learnedCalls.ts
@@ -2,7 +2,7 @@
 import { type Clock } from '@cleatquay/clock';
 import { type CallRoute } from './callHandler.js';
 
-/** A call that has not been observed for this long is no longer expected; longer than any pause in a route's traffic. */
+/** A call that has not been observed for this long is no longer expected; longer than any gap in a route's traffic. */
 const CALL_LIFETIME_MS = 30_000;
 
 /** The target of a call. */
@@ -19,8 +19,8 @@
     let calls = this.byParent.get(parent);
     if (!calls) this.byParent.set(parent, (calls = new Map()));
     const key = `${name} ${service}`;
-    const known = calls.get(key);
-    if (known) known.seenAt = this.clock.now();
+    const existing = calls.get(key);
+    if (existing) existing.seenAt = this.clock.now();
     else calls.set(key, { route: { name, service }, seenAt: this.clock.now() });
   }
 
--- a/packages/calls/src/linkClient.ts
+++ b/packages/calls/src/linkClient.ts
@@ -228,13 +228,13 @@
     for (const item of items) this.handleItem(item);
   }
 
-  private handleItem({ call: number, answer, credit, configuration }: LinkItem): void {
+  private handleItem({ call: number, answer: part, credit, configuration }: LinkItem): void {
     if (configuration) this.handleConfiguration(number, configuration);
     const call = this.calls.get(number);
     if (credit > 0) call?.window?.release(credit);
-    if (!answer || !call) return;
-    if (call.laterParts) call.laterParts.push(answer);
-    else call.onFirstPart(answer);
+    if (!part || !call) return;
+    if (call.laterParts) call.laterParts.push(part);
+    else call.onFirstPart(part);
   }
 
   private handleConfiguration(number: number, configuration: ConfigurationAnswer): void {
--- a/packages/calls/src/linkServer.ts
+++ b/packages/calls/src/linkServer.ts
@@ -20,7 +20,7 @@
 import { type RequestScheduler } from './requestScheduler.js';
 
 interface ServedCall {
-  /** Undefined if the first part was the whole request. */
+  /** Undefined if the request is complete with its first part. */
   readonly requestParts: AsyncQueue<RequestPart> | undefined;
   /** Defined only for responses that are sent in several parts. */
   window: SendWindow | undefined;
--- a/packages/calls/src/peers.ts
+++ b/packages/calls/src/peers.ts
@@ -26,6 +26,7 @@
 /** Ten round trips between the farthest failure domains; a connection attempt that takes longer is abandoned. */
 const CONNECT_TIMEOUT_MS = 400;
 const CONFIGURATION_TIMEOUT_MS = 2000;
+/** The error details of grpc-js for a request that was never sent begin with this. */
 const NO_CONNECTION = 'No connection established';
 
 /** Interval of attempts to reconnect to an unreachable peer. */
@@ -87,7 +88,7 @@
     return unreachablePeers >= MIN_UNREACHABLE_PEERS;
   }
 
-  /** Asks a peer to seal an attempt, which bars it from dispatch. */
+  /** Requests that a peer seals an attempt, which bars it from dispatch. */
   async seal(address: string, request: SealRequest, timeoutMs: number): Promise<SealAnswer> {
     if (this.isPartitioned(address)) throw new ConnectionLoss(`${address} is partitioned.`, true);
     return new Promise((resolve, reject) => {
--- a/packages/calls/src/quotaGate.ts
+++ b/packages/calls/src/quotaGate.ts
@@ -14,7 +14,7 @@
 import { type DecisionTrace } from './decisionTrace.js';
 import { MIN_SERVER_ERROR_STATUS, recordOutcome } from './recordOutcome.js';
 
-/** No quota coordinator responded in time; if it is gone, another daemon takes its place within a second. */
+/** No quota coordinator responded in time; if it has failed, another daemon replaces it within a second. */
 const QUOTA_UNREACHABLE_RETRY_AFTER_MS = 500;
 
 /** Dependencies on the daemon. */
@@ -34,7 +34,7 @@
 export class QuotaGate {
   constructor(private readonly options: QuotaGateOptions) {}
 
-  /** Forwards a request of an organisation, or refuses it if the quota has no capacity. */
+  /** Forwards a request of an organisation, or refuses it if the quota is exhausted or no coordinator responds. */
   async forwardWithinQuota(
     organisation: Organisation,
     context: CallContext,
@@ -51,7 +51,7 @@
     return { organisation, proofAgeMs: Math.round(this.options.proofAgeMs()) };
   }
 
-  /** Quota that was acquired for a request that did not run is refunded. */
+  /** Acquires a token of the quota, and refunds it if the request did not run. */
   private async withinQuota(
     organisation: string,
     quota: Quota,
@@ -60,11 +60,11 @@
   ): Promise<CallResponse> {
     const { clock, quotas } = this.options;
     const startedAt = clock.now();
-    const taken = await quotas().acquire(organisation, quota);
-    if (taken.kind !== 'taken') return this.refuse(context, organisation, quota, taken);
+    const decision = await quotas().acquire(organisation, quota);
+    if (decision.kind !== 'taken') return this.refuse(context, organisation, quota, decision);
     const remainingMs = Math.max(1, Math.floor(context.remainingMs - (clock.now() - startedAt)));
     const response = await forward({ ...context, remainingMs });
-    if (response.first.refusal?.outcome === 'not-run') quotas().refund(organisation, taken.at);
+    if (response.first.refusal?.outcome === 'not-run') quotas().refund(organisation, decision.at);
     return response;
   }
 
@@ -72,24 +72,24 @@
     { requestId, retryTokens }: CallContext,
     organisation: string,
     quota: Quota,
-    taken: Exclude<QuotaDecision, { kind: 'taken' }>,
+    decision: Exclude<QuotaDecision, { kind: 'taken' }>,
   ): CallResponse {
     const { journal } = this.options;
-    const facts = { ...this.factsOf(organisation), ...quota, ...taken };
-    journal.record(requestId, 'Refused: the quota of its organisation has no capacity.', facts);
-    const response = singlePartResponse(refusalPart(refusalFor(organisation, taken), retryTokens));
+    const facts = { ...this.factsOf(organisation), ...quota, ...decision };
+    journal.record(requestId, 'Refused: no token of the quota of its organisation was acquired.', facts);
+    const response = singlePartResponse(refusalPart(refusalFor(organisation, decision), retryTokens));
     recordOutcome(journal, requestId, response, 0);
     return response;
   }
 }
 
-function refusalFor(organisation: string, taken: Exclude<QuotaDecision, { kind: 'taken' }>): Refusal {
-  if (taken.kind === 'unknown')
+function refusalFor(organisation: string, decision: Exclude<QuotaDecision, { kind: 'taken' }>): Refusal {
+  if (decision.kind === 'unknown')
     return createRefusal('quotaUnreachable', 'No quota coordinator responded in time.', {
       retryAfterMs: QUOTA_UNREACHABLE_RETRY_AFTER_MS,
     });
   return createRefusal('quotaExceeded', `${organisation} has used up its quota.`, {
-    retryAfterMs: Math.max(1, Math.round(taken.retryAfterMs)),
+    retryAfterMs: Math.max(1, Math.round(decision.retryAfterMs)),
   });
 }
 
--- a/packages/calls/src/tokenBucketRetryBudget.ts
+++ b/packages/calls/src/tokenBucketRetryBudget.ts
@@ -3,7 +3,7 @@
 const TOKENS_PER_SUCCESS = 0.1;
 const MAX_TOKENS = 20;
 
-/** A retry that the budget is asked for. */
+/** A retry that is requested from the budget. */
 export interface Retry {
   /** Whether the previous attempt certainly did not run, or may have run. */
   readonly previousOutcome: 'not-run' | 'may-have-run';
@@ -15,10 +15,10 @@
 export interface RetryBudget {
   /** Counts a request for the service; `isRepeat` if an earlier attempt of it, or of a request that it is a call for, reached an upstream. */
   readonly countRequest: (service: string, isRepeat: boolean) => void;
-  /** Counts a call that was answered. */
+  /** Counts a successful call. */
   readonly countSuccess: () => void;
   /** Takes one retry at the service; false if the budget has none. */
-  readonly take: (service: string, repeat: Retry) => boolean;
+  readonly take: (service: string, retry: Retry) => boolean;
 }
 
 /** A token bucket that successes refill and retries drain. */
--- a/packages/calls/src/transitDelays.ts
+++ b/packages/calls/src/transitDelays.ts
@@ -17,7 +17,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Delay of a frame beyond the base, ms; 0 for a frame without a time of sending. */
+  /** Delay of a frame beyond the base, ms; 0 for a frame without a send time. */
   measure(sentAt: number): number {
     if (sentAt === 0) return 0;
     const now = this.clock.now();
--- a/packages/clock/src/cancellation.ts
+++ b/packages/clock/src/cancellation.ts
@@ -18,7 +18,7 @@
   reason: unknown;
   private listeners: (() => void)[] = [];
 
-  /** The signal to pass on. */
+  /** The signal to hand to the cancellable work. */
   get signal(): CancelSignal {
     return this;
   }
--- a/packages/clock/src/clock.ts
+++ b/packages/clock/src/clock.ts
@@ -1,4 +1,4 @@
-/** The clock interface, and the implementation by the system's clocks. */
+/** The clock interface, and its implementation by the clocks of the machine. */
 
 import { uptime } from 'node:os';
 import { type CancelSignal } from './cancellation.js';
@@ -54,7 +54,7 @@
 const UPTIME_CHECK_MS = 1000;
 
 /**
- * The system's clock. Timers don't keep the process alive; `sleep` does.
+ * The clock of the machine. Timers don't keep the process alive; `sleep` does.
  *
  * `now` includes suspensions of the VM, unlike the monotonic clocks of most systems: the remaining time of a caller, and the time since the
  * last heartbeat, are sent to other VMs and measured against their clocks. A suspension is a jump of the wall clock that the uptime confirms;
@@ -101,7 +101,7 @@
 
   sleep(ms: number, signal?: CancelSignal): Promise<void> {
     return sleepOn(
-      (left, action) => new SystemTimer(this.pendingTimers, this.now() + left, left, action),
+      (delayMs, action) => new SystemTimer(this.pendingTimers, this.now() + delayMs, delayMs, action),
       ms,
       signal,
     );
@@ -136,7 +136,7 @@
   /** Fires timers that fell due while the VM was suspended. */
   private fireOverdueTimers(): void {
     const now = this.now();
-    const due = [...this.pendingTimers].filter(({ dueAt: at }) => at <= now);
+    const due = [...this.pendingTimers].filter(({ dueAt }) => dueAt <= now);
     for (const timer of due.sort((a, b) => a.dueAt - b.dueAt)) timer.fire();
   }
 }
--- a/packages/clock/src/manualClock.ts
+++ b/packages/clock/src/manualClock.ts
@@ -32,11 +32,11 @@
   }
 
   after(ms: number, action: () => void): Timer {
-    const alarm: ScheduledTimer = { dueAt: this.elapsedMs + Math.max(0, ms), order: this.order++, action };
-    this.timers.push(alarm);
+    const timer: ScheduledTimer = { dueAt: this.elapsedMs + Math.max(0, ms), order: this.order++, action };
+    this.timers.push(timer);
     return {
       [Symbol.dispose]: () => {
-        alarm.action = undefined;
+        timer.action = undefined;
       },
     };
   }
--- a/packages/clock/src/timeLimit.ts
+++ b/packages/clock/src/timeLimit.ts
@@ -20,7 +20,7 @@
     else parent.addEventListener('abort', this.abortWithParent, { once: true });
   }
 
-  /** The signal to pass on. */
+  /** The signal to hand to the library. */
   get signal(): AbortSignal {
     return this.controller.signal;
   }
--- a/packages/daemon/src/rateLimits.ts
+++ b/packages/daemon/src/rateLimits.ts
@@ -1,4 +1,4 @@
-/** Rate limits of upstreams. They outlast the removal of an upstream, which may come back as the same start. */
+/** Rate limits of upstreams. They outlast the removal of an upstream, which may register again as the same process start. */
 import { RateLimit } from '@cleatquay/admission';
 import { type Clock } from '@cleatquay/clock';
 
@@ -13,8 +13,8 @@
 
   /** Returns the limit of a start. Creates it if needed, and then evicts the oldest one if there are too many. */
   forStart(start: string): RateLimit {
-    const known = this.byStart.get(start);
-    if (known) return known;
+    const existing = this.byStart.get(start);
+    if (existing) return existing;
     const rate = new RateLimit(this.clock);
     this.byStart.set(start, rate);
     const [oldest] = this.byStart.keys();
--- a/packages/daemon/src/restoreUpstreams.ts
+++ b/packages/daemon/src/restoreUpstreams.ts
@@ -1,6 +1,6 @@
 /**
  * Restores upstreams that an earlier process of this daemon recorded. A record may be outdated: the upstream may have
- * shut down while the table could not be reached. So each upstream is restored only if its health check responds and names
+ * shut down while the discovery table could not be reached. So each upstream is restored only if its health check responds and names
  * the recorded instance.
  */
 import { type UpstreamDialect } from '@cleatquay/calls';
@@ -51,12 +51,12 @@
   }
 }
 
-type RecordedUpstreamState = 'running' | 'leaving' | 'gone';
+type RecordedUpstreamState = 'running' | 'leaving' | 'unconfirmed';
 
 const STATE_MESSAGES: Record<RecordedUpstreamState, string> = {
   running: 'A recorded upstream is still running.',
   leaving: 'A recorded upstream reports that it is shutting down.',
-  gone: 'A recorded upstream is gone.',
+  unconfirmed: 'A recorded upstream is not restored: no health check confirmed that it is running.',
 };
 
 async function checkState(
@@ -66,9 +66,9 @@
   const end = clock.now() + heartbeatMs;
   while (healthPath(service) === undefined && clock.now() < end) await clock.sleep(CONFIGURATION_POLL_MS);
   const path = healthPath(service);
-  if (path === undefined || hasAnnounced(service)) return 'gone';
+  if (path === undefined || hasAnnounced(service)) return 'unconfirmed';
   const { isHealthy, headers } = await checkHealth(address, path);
-  if (dialect.instanceOf(headers) !== instanceId) return 'gone';
+  if (dialect.instanceOf(headers) !== instanceId) return 'unconfirmed';
   if (dialect.noticeOf(headers).isLeaving) return 'leaving';
-  return isHealthy ? 'running' : 'gone';
+  return isHealthy ? 'running' : 'unconfirmed';
 }
--- a/packages/daemon/src/upstreams.ts
+++ b/packages/daemon/src/upstreams.ts
@@ -14,7 +14,7 @@
 const MAX_MISSED_HEARTBEATS = 3;
 /**
  * A replaced instance is not registered again until its successor has missed this many heartbeats: a delayed heartbeat
- * of the replaced instance may arrive after that has ended and its successor has announced itself.
+ * of the replaced instance may arrive after the instance has ended and its successor has announced itself.
  */
 const SUCCESSOR_TIMEOUT_HEARTBEATS = 2;
 
@@ -27,7 +27,7 @@
   readonly connections: UpstreamConnections;
   isDraining: boolean;
   isDrainedByOperator: boolean;
-  /** It reported in a response that it is shutting down. Holds for this start, whatever its announcements report. */
+  /** Whether it reported in a response that it is shutting down. Applies to this start, whatever its announcements report. */
   hasReportedLeaving: boolean;
   readonly noticeLog: NoticeLog;
   readonly slowRateProbe: SlowRateProbe;
@@ -54,7 +54,7 @@
   readonly checkAddress: (address: string) => Promise<void>;
   /** Returns the notice of an upstream's health check; undefined if it has none. */
   readonly fetchNotice: (service: string, address: string) => Promise<ResponseNotice | undefined>;
-  /** Called when a start becomes known to be shutting down, other than by an announcement. */
+  /** Called when a response or a peer is the first to report that a start is shutting down, rather than an announcement. */
   readonly onDeparture: () => void;
   /** Called when the list that is published to the fleet has changed. */
   readonly onChange: (upstreams: Upstream[]) => void;
@@ -273,7 +273,7 @@
       }),
       onConnectionRefused: () => this.remove(upstream, 'It refused a connection'),
       onReplaced: () => this.replace(upstream),
-      onNotice: (notice, askedAt) => this.handleNotice(upstream, notice, askedAt),
+      onNotice: (notice, sentAt) => this.handleNotice(upstream, notice, sentAt),
       get notice() {
         return noticeOf(upstream);
       },
@@ -291,7 +291,7 @@
     this.notifyChange();
   }
 
-  private handleNotice(upstream: RegisteredUpstream, notice: ResponseNotice, askedAt: number): void {
+  private handleNotice(upstream: RegisteredUpstream, notice: ResponseNotice, sentAt: number): void {
     const { service, instanceId } = upstream.announcement;
     const { rateLimit } = notice;
     const { rate } = upstream.admission;
@@ -300,7 +300,7 @@
       this.counts.withRateLimit++;
       rate.named(rateLimit);
       upstream.slowRateProbe.schedule();
-    } else if (rateLimit === 'none') rate.onRateAbsent(askedAt);
+    } else if (rateLimit === 'none') rate.onRateAbsent(sentAt);
     upstream.noticeLog.update(notice, { service, instanceId });
     if (notice.isLeaving && !upstream.hasReportedLeaving) this.handleLeaving(upstream);
   }
--- a/packages/organisations/src/organisationCounts.ts
+++ b/packages/organisations/src/organisationCounts.ts
@@ -1,9 +1,9 @@
-/** Counts each organisation's requests at one daemon by outcome, so that operators can tell why requests are refused. */
+/** Counts each organisation's requests at one daemon by how they ended, so that operators can tell why requests are refused. */
 
-/** The outcome of a request. */
+/** How a request ended. */
 export type RequestDisposition = 'answered' | 'over-quota' | 'refused' | 'failed';
 
-/** Counts since the daemon started, by outcome. */
+/** Counts since the daemon started, by disposition. */
 export type DispositionCounts = Record<RequestDisposition, number>;
 
 /** Counts for the organisations of the active configuration. */
@@ -11,10 +11,10 @@
   private readonly counts = new Map<string, DispositionCounts>();
 
   /** Counts one request of the organisation. */
-  record(organisation: string, end: RequestDisposition): void {
+  record(organisation: string, disposition: RequestDisposition): void {
     let counts = this.counts.get(organisation);
     if (!counts) this.counts.set(organisation, (counts = zeroCounts()));
-    counts[end]++;
+    counts[disposition]++;
   }
 
   /** Removes other organisations, so that there are never more entries than the configuration has. */
--- a/packages/organisations/src/quotaBuckets.ts
+++ b/packages/organisations/src/quotaBuckets.ts
@@ -3,14 +3,14 @@
  * refills at the quota's rate, scaled by the share that this daemon has leased, up to the quota's burst.
  *
  * One bucket per failure domain lets an organisation whose callers use only a few of many daemons have the
- * domain's whole part of the quota.
+ * domain's entire part of the quota.
  */
 import { type Quota } from './organisation.js';
 import { ShareLeases } from './shareLeases.js';
 
 /** Requests may be granted ahead and delayed up to this long: a short wait is better than a refusal, and far below any timeout. */
 const MAX_DELAY_MS = 150;
-/** Refused requests are told to retry one after the other, but no later than this: callers wouldn't wait longer. */
+/** Retry times of refused requests are spaced by the refill time of a token, up to this: callers wouldn't wait longer. */
 const MAX_RETRY_AFTER_MS = 5000;
 /** Fraction of a bucket that is not transferred to another failure domain. */
 const KEPT_RATIO = 1 / 2;
@@ -28,11 +28,11 @@
 interface TokenBucket {
   /** Negative if requests were granted ahead. */
   tokens: number;
-  /** Capacity with the whole of the failure domain's quota leased. */
+  /** Capacity if the entire quota of the failure domain is leased to this daemon. */
   capacity: number;
   /** `fullShareMs` of the leases at the last refill. */
   refilledTo: number;
-  /** The retry time that the last refused request was given. */
+  /** Clock time at which the last refused request may be retried, ms. */
   lastRetryAt: number;
 }
 
@@ -139,10 +139,10 @@
   }
 
   private nextRetryAfterMs(bucket: TokenBucket, perMs: number, now: number): number {
-    const betweenMs = perMs > 0 ? 1 / perMs : MAX_RETRY_AFTER_MS;
+    const intervalMs = perMs > 0 ? 1 / perMs : MAX_RETRY_AFTER_MS;
     bucket.lastRetryAt = Math.min(
       now + MAX_RETRY_AFTER_MS,
-      Math.max(now + MAX_DELAY_MS, bucket.lastRetryAt + betweenMs),
+      Math.max(now + MAX_DELAY_MS, bucket.lastRetryAt + intervalMs),
     );
     return bucket.lastRetryAt - now;
   }
--- a/packages/organisations/src/quotaCoordinator.ts
+++ b/packages/organisations/src/quotaCoordinator.ts
@@ -12,7 +12,7 @@
 import { SHARD_COUNT, shardOf } from './shards.js';
 
 /**
- * With a smaller share of its failure domain's quota, as just after it became coordinator, a daemon can't tell
+ * With a smaller share of its failure domain's quota, as just after it became coordinator, a daemon can't conclude
  * that a quota is exhausted.
  */
 const MIN_CONCLUSIVE_SHARE = 1 / 4;
@@ -51,12 +51,12 @@
     const { now, epoch, isInSameDomain } = this.options;
     if (loan?.epoch === epoch() && isInSameDomain(from))
       this.acceptLease(shard, from, loan.share, loan.until);
-    const grants = asks.map(ask => this.grantFor(ask, isTransfer));
+    const grants = asks.map(quotaRequest => this.grantFor(quotaRequest, isTransfer));
     const offer: ShareLoan = { epoch: epoch(), until: now() + LEASE_MS, share: 0 };
     return { number, shard, grants, offer };
   }
 
-  /** Takes over a daemon's share of a shard until the lease expires. */
+  /** Accepts the lease of a daemon's share of a shard. */
   acceptLease(shard: number, lessor: string, share: number, until: number): void {
     this.shards[shard]?.leases.add(lessor, share, until, this.options.now());
   }
@@ -85,9 +85,9 @@
 
   private grantFor({ organisation, requests }: QuotaAsk, isTransfer: boolean): QuotaGrant {
     const quota = this.options.quotaOf(organisation);
-    const nothing = { organisation, requests: 0, delayMs: 0, retryAfterMs: 0, unknown: quota === undefined };
-    if (quota === undefined || !(requests > 0)) return nothing;
-    if (quota === 'none') return { ...nothing, requests };
+    const noGrant = { organisation, requests: 0, delayMs: 0, retryAfterMs: 0, unknown: quota === undefined };
+    if (quota === undefined || !(requests > 0)) return noGrant;
+    if (quota === 'none') return { ...noGrant, requests };
     if (isTransfer) {
       const tokens = this.bucketsOf(organisation).transferOut(
         organisation,
@@ -95,14 +95,14 @@
         requests,
         this.options.now(),
       );
-      return { ...nothing, requests: tokens };
+      return { ...noGrant, requests: tokens };
     }
     const grant = this.bucketsOf(organisation).grant(organisation, quota, requests, this.options.now());
     if (grant.requests < requests && this.shareOf(shardOf(organisation)) < MIN_CONCLUSIVE_SHARE)
-      return { ...nothing, requests: grant.requests, unknown: true };
+      return { ...noGrant, requests: grant.requests, unknown: true };
     const { delayMs, retryAfterMs } = grant;
     return {
-      ...nothing,
+      ...noGrant,
       requests: grant.requests,
       delayMs: Math.ceil(delayMs),
       retryAfterMs: Math.ceil(retryAfterMs),
--- a/packages/organisations/src/quotas.ts
+++ b/packages/organisations/src/quotas.ts
@@ -20,13 +20,13 @@
 const MAX_RESPONSE_AGE_MS = 200;
 /** A daemon that doesn't respond for this long is regarded as failed. */
 const RESPONSE_TIMEOUT_MS = 350;
-/** Longest wait for a decision: by then the next coordinator has the leases of the other daemons. */
+/** Maximum wait for a decision: by then the next coordinator has the leases of the other daemons. */
 const MAX_WAIT_MS = 1100;
 /** Tokens of a request that was never run may be used by the organisation's next request within this time. */
 const REFUND_LIFETIME_MS = 150;
 /** An exhausted quota is not requested again for this long. */
 const EXHAUSTED_CACHE_MS = 50;
-/** Shortest interval between transfer requests to other failure domains, per organisation. */
+/** Minimum interval between transfer requests to other failure domains, per organisation. */
 const TRANSFER_INTERVAL_MS = 100;
 const MAX_FIRST_NUMBER = 2 ** 31;
 
@@ -112,9 +112,9 @@
     if (exhausted && now < exhausted.until)
       return this.count({ kind: 'over', retryAfterMs: this.jitter(exhausted.retryAt - now) });
     const shard = shardOf(organisation);
-    const isHere = this.directory.inSameDomain(shard, now) === this.options.self;
+    const isCoordinator = this.directory.inSameDomain(shard, now) === this.options.self;
     return (
-      (isHere ? this.acquireLocally(organisation, quota, now) : undefined) ??
+      (isCoordinator ? this.acquireLocally(organisation, quota, now) : undefined) ??
       this.enqueue(shard, organisation, now)
     );
   }
@@ -322,7 +322,7 @@
     this.nextTransferAt.set(organisation, now + TRANSFER_INTERVAL_MS);
     const shard = shardOf(organisation);
     const coordinators = this.directory.inOtherDomains(shard);
-    // Asks each domain for an equal part, since tokens beyond the bucket's capacity would be lost.
+    // Requests an equal part from each domain, since tokens beyond the bucket's capacity would be lost.
     const requests = new Map([[organisation, deficit / coordinators.length]]);
     for (const to of coordinators)
       this.send({ to, sentAt: now, shard, requests, isTransfer: true }, undefined);
--- a/packages/routes/src/hostRoutes.ts
+++ b/packages/routes/src/hostRoutes.ts
@@ -9,30 +9,30 @@
   private readonly byHost = new Map<string, Map<string, HostRoute>>();
   private readonly splits = new Map<string, WeightedSplit>();
   private readonly services = new Map<string, ServicePlan>();
-  private readonly ranks: PriorityClasses;
+  private readonly priorityClasses: PriorityClasses;
   /** API keys of the organisations; undefined if requests need no key. */
   readonly keyring: Keyring | undefined;
 
-  /** Takes over the state of weighted splits from `before`, where services and weights are the same. */
+  /** Reuses the weighted splits of `previous` with their state where services and weights are the same. */
   constructor(
     readonly plan: RoutePlan,
     random: Random,
-    before?: HostRoutes,
+    previous?: HostRoutes,
   ) {
     for (const route of plan.routes) {
       const host = route.host.toLowerCase();
       const prefixes = this.byHost.get(host) ?? new Map<string, HostRoute>();
       prefixes.set(route.pathPrefix, route);
       this.byHost.set(host, prefixes);
-      const known = before?.splits.get(route.name);
+      const existing = previous?.splits.get(route.name);
       this.splits.set(
         route.name,
-        known?.hasParts(route.parts) ? known : new WeightedSplit(route.parts, random),
+        existing?.hasParts(route.parts) ? existing : new WeightedSplit(route.parts, random),
       );
     }
     for (const service of plan.services) this.services.set(service.name, service);
     this.keyring = plan.organisations && new Keyring(plan.organisations);
-    this.ranks = new PriorityClasses({
+    this.priorityClasses = new PriorityClasses({
       routes: plan.routes.map(({ rank }) => rank),
       organisations: this.keyring?.ranks ?? [],
     });
@@ -43,9 +43,9 @@
     const prefixes = this.byHost.get(hostnameOf(host));
     if (!prefixes) return undefined;
     const query = path.indexOf('?');
-    const bare = query < 0 ? path : path.slice(0, query);
-    for (let slash = bare.lastIndexOf('/'); slash >= 0; slash = bare.lastIndexOf('/', slash - 1)) {
-      const route = prefixes.get(bare.slice(0, slash + 1));
+    const pathname = query < 0 ? path : path.slice(0, query);
+    for (let slash = pathname.lastIndexOf('/'); slash >= 0; slash = pathname.lastIndexOf('/', slash - 1)) {
+      const route = prefixes.get(pathname.slice(0, slash + 1));
       if (route) return route;
       if (slash === 0) return undefined;
     }
@@ -59,12 +59,12 @@
 
   /** Number of priority classes. */
   get classes(): number {
-    return this.ranks.count;
+    return this.priorityClasses.count;
   }
 
   /** Priority class of a request; 0 is the highest priority. */
   rankOf(route: HostRoute, organisation: Organisation | undefined): number {
-    return this.ranks.classOf(route.rank, organisation?.rank);
+    return this.priorityClasses.classOf(route.rank, organisation?.rank);
   }
 
   /** The declaration of a service. */
--- a/packages/routes/src/planSections.ts
+++ b/packages/routes/src/planSections.ts
@@ -15,7 +15,9 @@
   return new Map([
     [GENERAL_SECTION, JSON.stringify(general)],
     ...routes.map(route => [ROUTE_PREFIX + route.name, JSON.stringify(route)] as const),
-    ...(organisations ?? []).map(one => [ORGANISATION_PREFIX + one.name, JSON.stringify(one)] as const),
+    ...(organisations ?? []).map(
+      organisation => [ORGANISATION_PREFIX + organisation.name, JSON.stringify(organisation)] as const,
+    ),
   ]);
 }
 
--- a/packages/routes/src/routePlan.ts
+++ b/packages/routes/src/routePlan.ts
@@ -2,7 +2,7 @@
 import { type Organisation } from '@cleatquay/organisations';
 import { type RoutePart } from './weightedSplit.js';
 
-/** One route. */
+/** A route. */
 export interface HostRoute {
   readonly name: string;
   readonly host: string;
@@ -14,7 +14,7 @@
   readonly timeoutMs: number;
   /** Time within which a response is most useful, ms. */
   readonly targetLatencyMs: number;
-  /** Priority class; 0 is the highest priority. */
+  /** Priority rank, 0 for the highest priority; PriorityClasses derives the class of a request from it. */
   readonly rank: number;
   /** Whether requests need no API key even if organisations are declared. */
   readonly isPublic: boolean;
--- a/packages/routes/src/weightedSplit.ts
+++ b/packages/routes/src/weightedSplit.ts
@@ -34,10 +34,10 @@
   next(): string | undefined {
     if (this.weightedParts.length === 1) return this.weightedParts[0]?.service;
     let best: WeightedPart | undefined;
-    for (const share of this.weightedParts) {
-      if (share.weight <= 0) continue;
-      share.deficit += share.weight;
-      if (!best || share.deficit > best.deficit) best = share;
+    for (const part of this.weightedParts) {
+      if (part.weight <= 0) continue;
+      part.deficit += part.weight;
+      if (!best || part.deficit > best.deficit) best = part;
     }
     if (best) best.deficit -= this.totalWeight;
     return best?.service;
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -11,7 +11,7 @@
 const SPILLOVER_UTILISATION = 0.9;
 /**
  * An upstream in another failure domain must have a utilisation lower by this to be preferred to a full one in the same
- * domain, since the known utilisation may be 0.2 s old.
+ * domain, since the reported utilisation may be 0.2 s old.
  */
 const OTHER_DOMAIN_MARGIN = 0.25;
 /** A candidate is an outlier if it is slower than the median by more than this factor. */
@@ -94,7 +94,7 @@
     return chosen ? { kind: 'chosen', candidate: chosen.candidate } : { kind: 'refused' };
   }
 
-  /** The figures behind the choice of a candidate, for the log. */
+  /** The figures behind the choice of a candidate, for the decision trace. */
   statisticsSummary(candidate: Candidate): { outstanding: number; utilisation: number; loadAgeMs: number } {
     const statistics = this.statisticsOf(candidate.address);
     const utilisation = Math.round(100 * statistics.utilisation(candidate.slots)) / 100;
@@ -118,11 +118,11 @@
     );
     const receivedAt = ({ statistics }: MeasuredCandidate) => statistics.levelReceivedAt(route);
     const latest = reachable.reduce(
-      (time, known) => Math.max(time, receivedAt(known)),
+      (time, candidate) => Math.max(time, receivedAt(candidate)),
       Number.NEGATIVE_INFINITY,
     );
     return reachable
-      .filter(known => receivedAt(known) >= latest - RECENTLY_REPORTED_MS)
+      .filter(candidate => receivedAt(candidate) >= latest - RECENTLY_REPORTED_MS)
       .reduce((highest, { statistics }) => Math.max(highest, statistics.admissionLevelFor(route)), 0);
   }
 
@@ -138,7 +138,7 @@
     this.statisticsOf(address).recordLoad(route, load);
   }
 
-  /** Deletes the statistics of a candidate that has left for good. */
+  /** Deletes the statistics of a candidate that was removed permanently. */
   forget(address: string): void {
     this.statistics.delete(address);
     this.subsets.clear();
@@ -165,13 +165,13 @@
 
   /** Those in the same failure domain, or in others, whose reported admission level admits the call. */
   private admitting(
-    known: readonly MeasuredCandidate[],
+    candidates: readonly MeasuredCandidate[],
     route: string,
     level: number,
     isSameDomain: boolean,
   ): MeasuredCandidate[] {
     const { failureDomain } = this.options;
-    return known.filter(
+    return candidates.filter(
       ({ candidate, statistics }) =>
         (candidate.failureDomain === failureDomain) === isSameDomain &&
         statistics.admissionLevelFor(route) > level,
@@ -179,11 +179,11 @@
   }
 
   /** The less utilised of two random candidates: power of two choices (Mitzenmacher 2001). */
-  private pick(known: readonly MeasuredCandidate[]): MeasuredCandidate | undefined {
-    if (known.length < 2) return known[0];
-    const first = known[Math.floor(this.options.random() * known.length)];
-    const second = known[Math.floor(this.options.random() * known.length)];
-    return this.lessBusy(first, second);
+  private pick(candidates: readonly MeasuredCandidate[]): MeasuredCandidate | undefined {
+    if (candidates.length < 2) return candidates[0];
+    const first = candidates[Math.floor(this.options.random() * candidates.length)];
+    const second = candidates[Math.floor(this.options.random() * candidates.length)];
+    return this.lessUtilised(first, second);
   }
 
   private reachabilityOf(candidate: Candidate): 'good' | 'silent' | 'lost' {
@@ -191,12 +191,12 @@
   }
 
   /** Leaves out unreachable candidates; also unresponsive and backed-off ones, unless no others remain. */
-  private reachable(known: readonly MeasuredCandidate[]): readonly MeasuredCandidate[] {
+  private reachable(candidates: readonly MeasuredCandidate[]): readonly MeasuredCandidate[] {
     const isHealthy = ({ candidate, statistics }: MeasuredCandidate) =>
       !statistics.isBackedOff && this.reachabilityOf(candidate) === 'good';
-    const healthy = known.filter(isHealthy);
+    const healthy = candidates.filter(isHealthy);
     if (healthy.length > 0) return healthy;
-    return known.filter(({ candidate }) => this.reachabilityOf(candidate) !== 'lost');
+    return candidates.filter(({ candidate }) => this.reachabilityOf(candidate) !== 'lost');
   }
 
   /**
@@ -204,25 +204,25 @@
    * lower classes, which detect recovery. Candidates up to the median always remain, which is at least half of them.
    */
   private withoutOutliers(
-    known: readonly MeasuredCandidate[],
+    candidates: readonly MeasuredCandidate[],
     subset: Subset,
     level: number,
   ): readonly MeasuredCandidate[] {
     const isProbe = level >= 1 && this.options.random() < OUTLIER_PROBE_RATIO;
-    if (known.length < 3 || isProbe) return known;
-    const bound = this.outlierBound(known, subset);
-    return known.filter(
+    if (candidates.length < 3 || isProbe) return candidates;
+    const bound = this.outlierBound(candidates, subset);
+    return candidates.filter(
       ({ statistics }) => statistics.samples < OUTLIER_MIN_SAMPLES || statistics.slownessMs() <= bound,
     );
   }
 
   /** Cached for some choices and milliseconds, so that not every choice sorts all candidates. */
-  private outlierBound(known: readonly MeasuredCandidate[], subset: Subset): number {
+  private outlierBound(candidates: readonly MeasuredCandidate[], subset: Subset): number {
     const now = this.options.clock.now();
     const { outlierBound } = subset;
     if (outlierBound.choicesLeft-- > 0 && now - outlierBound.at < OUTLIER_BOUND_TTL_MS)
       return outlierBound.ms;
-    const measured = known.filter(({ statistics }) => statistics.samples >= OUTLIER_MIN_SAMPLES);
+    const measured = candidates.filter(({ statistics }) => statistics.samples >= OUTLIER_MIN_SAMPLES);
     const latencies = measured.map(({ statistics }) => statistics.slownessMs()).sort((a, b) => a - b);
     const median = latencies[Math.floor((latencies.length - 1) / 2)];
     const ms = median === undefined ? Number.POSITIVE_INFINITY : median * OUTLIER_FACTOR;
@@ -230,7 +230,7 @@
     return ms;
   }
 
-  private lessBusy(
+  private lessUtilised(
     a: MeasuredCandidate | undefined,
     b: MeasuredCandidate | undefined,
   ): MeasuredCandidate | undefined {
@@ -238,7 +238,7 @@
     return this.utilisation(b) < this.utilisation(a) ? b : a;
   }
 
-  /** When all are busy, calls to another failure domain cost traffic between domains and gain no capacity. */
+  /** When all are highly utilised, calls to another failure domain cost traffic between domains and gain no capacity. */
   private preferSameDomain(
     sameDomain: MeasuredCandidate | undefined,
     otherDomain: MeasuredCandidate | undefined,
@@ -257,8 +257,8 @@
   private subset(service: string): Subset {
     const { directory, failureDomain } = this.options;
     const version = directory.version(service);
-    const known = this.subsets.get(service);
-    if (known?.version === version) return known;
+    const cached = this.subsets.get(service);
+    if (cached?.version === version) return cached;
     const all = directory.of(service);
     const sameDomain = this.ranked(all.filter(c => c.failureDomain === failureDomain)).slice(
       0,
--- a/packages/routing/src/upstreamDirectory.ts
+++ b/packages/routing/src/upstreamDirectory.ts
@@ -20,7 +20,7 @@
   update(member: Member): void {
     for (const service of this.servicesOf.get(member.address) ?? []) {
       this.byService.get(service)?.delete(member.address);
-      this.changed(service);
+      this.incrementVersion(service);
     }
     const isUp = member.state === 'ALIVE' || member.state === 'SUSPECT';
     const ready = isUp ? member.upstreams.filter(upstream => !upstream.draining) : [];
@@ -29,7 +29,7 @@
       const candidates = this.byService.get(service) ?? new Map<string, Candidate>();
       candidates.set(address, { address, epoch, failureDomain, slots });
       this.byService.set(service, candidates);
-      this.changed(service);
+      this.incrementVersion(service);
     }
     const services = ready.map(upstream => upstream.service);
     if (services.length > 0) this.servicesOf.set(member.address, services);
@@ -51,7 +51,7 @@
     return this.versions.get(service) ?? 0;
   }
 
-  private changed(service: string): void {
+  private incrementVersion(service: string): void {
     this.versions.set(service, this.version(service) + 1);
   }
 }
