--- a/packages/organisations/src/quotaBuckets.ts
+++ b/packages/organisations/src/quotaBuckets.ts
@@ -59,25 +59,25 @@
   }
 
   /** Grants as many of the requests as the bucket allows. */
-  grant(organisation: string, quota: Quota, wanted: number, now: number): Grant {
+  grant(organisation: string, quota: Quota, requested: number, now: number): Grant {
     const bucket = this.refill(organisation, quota, now);
     const perMs = this.tokensPerMs(quota, now);
     const ahead = perMs * MAX_DELAY_MS;
-    const requests = Math.max(0, Math.min(wanted, Math.floor(bucket.tokens + ahead)));
+    const requests = Math.max(0, Math.min(requested, Math.floor(bucket.tokens + ahead)));
     bucket.tokens -= requests;
     const delayMs = requests > 0 && bucket.tokens < 0 ? -bucket.tokens / perMs : 0;
     return {
       requests,
       delayMs,
-      retryAfterMs: requests < wanted ? this.nextRetryAfterMs(bucket, perMs, now) : 0,
+      retryAfterMs: requests < requested ? this.nextRetryAfterMs(bucket, perMs, now) : 0,
     };
   }
 
   /** Removes tokens (possibly a fraction) for another failure domain; half of the capacity stays. */
-  transferOut(organisation: string, quota: Quota, wanted: number, now: number): number {
+  transferOut(organisation: string, quota: Quota, requested: number, now: number): number {
     const bucket = this.refill(organisation, quota, now);
     const spare = Math.max(0, bucket.tokens - this.leasedCapacity(quota, now) * KEPT_RATIO);
-    const transferred = Math.min(wanted, spare);
+    const transferred = Math.min(requested, spare);
     bucket.tokens -= transferred;
     return transferred;
   }
