--- a/packages/admission/src/adaptiveLimit.ts
+++ b/packages/admission/src/adaptiveLimit.ts
@@ -6,7 +6,7 @@
 const DECREASE_FACTOR = 0.9;
 const MIN_DECREASE_INTERVAL_MS = 100;
 /**
- * The limit never falls below this ratio of the announced slots. An upstream that sheds below it sheds for another reason
+ * The limit is not lowered below this ratio of the announced slots. An upstream that sheds below it sheds for another reason
  * than load, and a lower limit doesn't help it. Guards against: an upstream that refuses some ratio of all requests while its
  * whole capacity is needed.
  */
@@ -60,7 +60,7 @@
     this.limit = Math.min(this.slots, this.limit + step);
   }
 
-  /** Lowers the limit after the upstream shed a request, at most once per interval. */
+  /** Lowers the limit after the upstream shed a request, at most once per interval; ends a slow start at `MIN_SLOTS_RATIO`. */
   onShed(): void {
     const now = this.clock.now();
     if (now - this.decreasedAt < MIN_DECREASE_INTERVAL_MS) return;
--- a/packages/admission/src/admission.ts
+++ b/packages/admission/src/admission.ts
@@ -62,7 +62,7 @@
   private latencyMs = INITIAL_LATENCY_MS;
   private refusedInTick = false;
   private overloadedSince: number | undefined;
-  /** Runs only while requests are queued or refused, so that an idle daemon is not woken up. */
+  /** Runs only while requests are queued or the admission level recovers, so that an idle daemon is not woken up. */
   private timer: Timer | undefined;
 
   constructor(private readonly options: AdmissionOptions) {
--- a/packages/daemon/src/noticeLog.ts
+++ b/packages/daemon/src/noticeLog.ts
@@ -16,7 +16,7 @@
     private readonly log: (message: string, facts: object) => void,
   ) {}
 
-  /** Logs the notice of a response if it differs from the last one logged. */
+  /** Logs the notice of a response if it differs from the last one logged, at most once per interval. */
   update(notice: ResponseNotice, facts: object): void {
     const { rateLimit, isLeaving } = this.lastNotice;
     if (notice.rateLimit === rateLimit && notice.isLeaving === isLeaving) return;
--- a/packages/daemon/src/organisationGauges.ts
+++ b/packages/daemon/src/organisationGauges.ts
@@ -1,4 +1,4 @@
-/** Gauges of API keys and quotas, evaluated on each scrape; docs/operators/observe.md lists them. */
+/** Gauges of the freshness proof and of quotas, evaluated on each scrape; docs/operators/observe.md lists them. */
 import { type Freshness } from '@cleatquay/configuration';
 import { type Quotas } from '@cleatquay/organisations';
 import { type Metrics } from './metrics.js';
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -201,7 +201,7 @@
 
   /**
    * Leaves out candidates that are much slower than the median over all failure domains, except for a small ratio of calls of
-   * lower classes, which detect recovery. Candidates up to the median always remain, which is at least half of them.
+   * lower classes, which detect recovery. The bound leaves at least half of the candidates from which it was computed: those up to the median.
    */
   private withoutOutliers(
     candidates: readonly MeasuredCandidate[],
