--- a/packages/organisations/src/quotaBuckets.ts
+++ b/packages/organisations/src/quotaBuckets.ts
@@ -3,14 +3,14 @@
  * refills at the quota's rate, scaled by the share that this daemon has leased, up to the quota's burst.
  *
  * One bucket per failure domain lets an organisation whose callers use only a few of many daemons have the
- * domain's whole part of the quota.
+ * domain's entire part of the quota.
  */
 import { type Quota } from './organisation.js';
 import { ShareLeases } from './shareLeases.js';
 
 /** Requests may be granted ahead and delayed up to this long: a short wait is better than a refusal, and far below any timeout. */
 const MAX_DELAY_MS = 150;
-/** Refused requests are told to retry one after the other, but no later than this: callers wouldn't wait longer. */
+/** Retry times of refused requests are spaced by the refill time of a token, up to this: callers wouldn't wait longer. */
 const MAX_RETRY_AFTER_MS = 5000;
 /** Fraction of a bucket that is not transferred to another failure domain. */
 const KEPT_RATIO = 1 / 2;
@@ -28,11 +28,11 @@
 interface TokenBucket {
   /** Negative if requests were granted ahead. */
   tokens: number;
-  /** Capacity with the whole of the failure domain's quota leased. */
+  /** Capacity if the entire quota of the failure domain is leased to this daemon. */
   capacity: number;
   /** `fullShareMs` of the leases at the last refill. */
   refilledTo: number;
-  /** The retry time that the last refused request was given. */
+  /** Clock time at which the last refused request may be retried, ms. */
   lastRetryAt: number;
 }
 
@@ -59,25 +59,25 @@
   }
 
   /** Grants as many of the requests as the bucket allows. */
-  grant(organisation: string, quota: Quota, wanted: number, now: number): Grant {
+  grant(organisation: string, quota: Quota, requested: number, now: number): Grant {
     const bucket = this.refill(organisation, quota, now);
     const perMs = this.tokensPerMs(quota, now);
     const ahead = perMs * MAX_DELAY_MS;
-    const requests = Math.max(0, Math.min(wanted, Math.floor(bucket.tokens + ahead)));
+    const requests = Math.max(0, Math.min(requested, Math.floor(bucket.tokens + ahead)));
     bucket.tokens -= requests;
     const delayMs = requests > 0 && bucket.tokens < 0 ? -bucket.tokens / perMs : 0;
     return {
       requests,
       delayMs,
-      retryAfterMs: requests < wanted ? this.nextRetryAfterMs(bucket, perMs, now) : 0,
+      retryAfterMs: requests < requested ? this.nextRetryAfterMs(bucket, perMs, now) : 0,
     };
   }
 
   /** Removes tokens (possibly a fraction) for another failure domain; half of the capacity stays. */
-  transferOut(organisation: string, quota: Quota, wanted: number, now: number): number {
+  transferOut(organisation: string, quota: Quota, requested: number, now: number): number {
     const bucket = this.refill(organisation, quota, now);
     const spare = Math.max(0, bucket.tokens - this.leasedCapacity(quota, now) * KEPT_RATIO);
-    const transferred = Math.min(wanted, spare);
+    const transferred = Math.min(requested, spare);
     bucket.tokens -= transferred;
     return transferred;
   }
@@ -139,10 +139,10 @@
   }
 
   private nextRetryAfterMs(bucket: TokenBucket, perMs: number, now: number): number {
-    const betweenMs = perMs > 0 ? 1 / perMs : MAX_RETRY_AFTER_MS;
+    const intervalMs = perMs > 0 ? 1 / perMs : MAX_RETRY_AFTER_MS;
     bucket.lastRetryAt = Math.min(
       now + MAX_RETRY_AFTER_MS,
-      Math.max(now + MAX_DELAY_MS, bucket.lastRetryAt + betweenMs),
+      Math.max(now + MAX_DELAY_MS, bucket.lastRetryAt + intervalMs),
     );
     return bucket.lastRetryAt - now;
   }
