--- a/packages/bench/src/experiments/fleetRuns.ts
+++ b/packages/bench/src/experiments/fleetRuns.ts
@@ -12,7 +12,7 @@
 /** Figures of a run, and the ratio of answered requests. */
 export interface FleetRunResult {
   readonly figures: VariantResult;
-  /** Ratio of answered requests by failure domain, or under the key `all`. */
+  /** Ratio of answered requests by failure domain, or of all requests under the key `all`. */
   readonly answered: Record<string, number>;
 }
 
@@ -87,5 +87,7 @@
 }
 
 function answeredShare(requests: readonly SentRequest[]): number {
-  return requests.filter(a => a.result.outcome === 'answered').length / Math.max(1, requests.length);
+  return (
+    requests.filter(request => request.result.outcome === 'answered').length / Math.max(1, requests.length)
+  );
 }
--- a/packages/bench/src/experiments/index.ts
+++ b/packages/bench/src/experiments/index.ts
@@ -60,7 +60,7 @@
   },
 };
 
-/** A run of a whole fleet, each part of which must answer a minimum ratio of its requests. */
+/** A run of a whole fleet; at least `minAnsweredShare` of the requests must be answered, in each failure domain if the run tells them apart. */
 function fleetRun(
   summary: string,
   minAnsweredShare: number,
@@ -72,7 +72,7 @@
       log(`Running ${name}.`);
       const { figures, answered } = await run(seed, seconds);
       const belowMinimum = Object.entries(answered).filter(([, share]) => share < minAnsweredShare);
-      const violations = belowMinimum.map(([part, share]) => `${part} answered ${share.toFixed(4)}.`);
+      const violations = belowMinimum.map(([key, share]) => `${key}: answeredShare is ${share.toFixed(4)}.`);
       violations.push(...findViolations('full', figures, MAX_ATTEMPTS));
       return {
         experiment: name,
--- a/packages/bench/src/experiments/overload.ts
+++ b/packages/bench/src/experiments/overload.ts
@@ -88,7 +88,7 @@
   return { ...(await collectFigures(fleet, load, trigger, end, capacity)), processorUse };
 }
 
-/** Ignores upstreams that were killed in the meantime. */
+/** Sets the factor on service times; ignores upstreams that were killed in the meantime. */
 async function setSlowFactor(fleet: Fleet, nodes: readonly FleetNode[], slowFactor: number): Promise<void> {
   await Promise.all(nodes.map(node => fleet.setBehaviour(node, { slowFactor }).catch(() => undefined)));
 }
@@ -110,11 +110,11 @@
   const wasted = workCounts.reduce((sum, work) => sum + work.wasted, 0);
   const useful = workCounts.reduce((sum, work) => sum + work.useful, 0);
   const invariantViolations = await fleet.invariantViolations();
-  const firstServiceNodes = fleet.nodes.filter(node => node.service === serviceAt(1));
-  const ledgers = firstServiceNodes.map(node => fleet.ledger(node));
+  const ingressNodes = fleet.nodes.filter(node => node.service === serviceAt(1));
+  const ledgers = ingressNodes.map(node => fleet.ledger(node));
   const shares = Object.keys(offered.byClass).map(name => {
-    const due = offered.byClass[name] ?? 0;
-    return [name, due === 0 ? 1 : (goodput.byClass[name] ?? 0) / due] as const;
+    const offeredRate = offered.byClass[name] ?? 0;
+    return [name, offeredRate === 0 ? 1 : (goodput.byClass[name] ?? 0) / offeredRate] as const;
   });
   return {
     goodput,
@@ -131,7 +131,7 @@
   };
 }
 
-/** Starts a measurement; the returned function gives the mean processor utilisation since then. */
+/** Starts a measurement; the returned function returns the mean processor utilisation since then. */
 function startProcessorMeter(): () => number {
   const total = () =>
     cpus().reduce(
--- a/packages/bench/src/faultInjector.ts
+++ b/packages/bench/src/faultInjector.ts
@@ -1,4 +1,4 @@
-/** Injects random faults into a fleet, one at a time or several at once, reproducibly from a seed. */
+/** Injects random faults into a fleet, possibly several at once. */
 import { type Clock, type Random } from '@cleatquay/clock';
 import { type UpstreamBehaviour } from '@cleatquay/standins';
 import { type Fleet, type FleetNode } from './fleet.js';
@@ -31,6 +31,7 @@
 
 /** Injects faults for a given time, and ends each of them. */
 export class FaultInjector {
+  /** Number of injections, by fault. */
   readonly counts: Record<string, number> = {};
   private readonly faultyNodes = new Set<FleetNode>();
   private readonly pendingFaults = new Set<Promise<void>>();
@@ -69,9 +70,9 @@
     if (fault === 'freeze-daemon') return this.freeze(node.daemon.signal.bind(node.daemon));
     if (fault === 'freeze-upstream') return this.freeze(node.upstream.signal.bind(node.upstream));
     if (fault === 'replace-vm') return this.replace(node);
-    if (fault === 'platform-down') return this.disturbPlatform({ down: true }, { down: false });
+    if (fault === 'platform-down') return this.injectPlatformFaults({ down: true }, { down: false });
     if (fault === 'platform-loses-answers')
-      return this.disturbPlatform({ loseAnswers: 0.5 }, { loseAnswers: 0 });
+      return this.injectPlatformFaults({ loseAnswers: 0.5 }, { loseAnswers: 0 });
     if (fault === 'drain-and-back') return this.drain(node);
     return this.partition(node, fault === 'cut-both-ways');
   }
@@ -92,7 +93,7 @@
     this.onReplaced(node, replacement);
   }
 
-  private async disturbPlatform(faults: object, recovery: object): Promise<void> {
+  private async injectPlatformFaults(faults: object, recovery: object): Promise<void> {
     await this.fleet.setPlatformFaults(faults);
     await this.clock.sleep(this.random() * MAX_FAULT_MS);
     await this.fleet.setPlatformFaults(recovery);
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -16,8 +16,8 @@
 const PLATFORM = repositoryPath('packages/standins/dist/platformMain.js');
 const MAX_CONCURRENT_STARTS = 8;
 const MAX_SEEDS = 3;
-const READY_POLL_MS = 50;
-const READY_TIMEOUT_MS = 30_000;
+const CONVERGENCE_POLL_MS = 50;
+const CONVERGENCE_TIMEOUT_MS = 30_000;
 
 /** Addresses of a daemon, each as `ip:port`. */
 export interface DaemonAddresses {
@@ -134,12 +134,12 @@
 
   /** Waits until every daemon has a configuration and sees every upstream. */
   async waitUntilConverged(): Promise<void> {
-    const deadline = performance.now() + READY_TIMEOUT_MS;
+    const deadline = performance.now() + CONVERGENCE_TIMEOUT_MS;
     for (const node of this.nodes) {
       while (!(await this.hasConverged(node))) {
         if (performance.now() > deadline)
           throw new Error(`${node.addresses.operator} does not see all upstreams of the fleet.`);
-        await new Promise(resolve => setTimeout(resolve, READY_POLL_MS));
+        await new Promise(resolve => setTimeout(resolve, CONVERGENCE_POLL_MS));
       }
     }
   }
--- a/packages/bench/src/mixedLoad.ts
+++ b/packages/bench/src/mixedLoad.ts
@@ -72,11 +72,11 @@
     const previous = executions.get(token) ?? { started: 0, done: 0 };
     executions.set(token, { started: previous.started + 1, done: previous.done + (done ? 1 : 0) });
   }
-  const confirmations = requests.filter(a => a.isConfirmation);
-  const answered = requests.filter(a => a.result.outcome === 'answered');
-  const matching = answered.filter(a => a.body?.token === a.token);
-  const executionsOf = (a: SentRequest) => executions.get(a.token) ?? { started: 0, done: 0 };
-  const confirmed = confirmations.filter(a => a.result.outcome === 'answered');
+  const confirmations = requests.filter(request => request.isConfirmation);
+  const answered = requests.filter(request => request.result.outcome === 'answered');
+  const matching = answered.filter(request => request.body?.token === request.token);
+  const executionsOf = (request: SentRequest) => executions.get(request.token) ?? { started: 0, done: 0 };
+  const confirmed = confirmations.filter(request => request.result.outcome === 'answered');
   return {
     goodput: ratesByClass(matching, seconds),
     offered: ratesByClass(requests, seconds),
@@ -86,17 +86,21 @@
     },
     outcomes: countOutcomes(requests),
     triesPerRequestMax: Math.max(0, ...attemptsById.values()),
-    notRunButRan: requests.filter(a => a.result.outcome === 'not-run' && executionsOf(a).started > 0).length,
-    doubleEffects: confirmations.filter(a => executionsOf(a).done > 1).length,
-    answeredWithoutEffect: confirmed.filter(a => executionsOf(a).done === 0).length,
-    incompleteAnswers: answered.filter(a => a.body?.children?.length !== 1).length,
-    mismatchedAnswers: answered.filter(a => a.body !== undefined && a.body.token !== a.token).length,
-    unknownShare: requests.filter(a => a.result.outcome === 'unknown').length / requests.length,
+    notRunButRan: requests.filter(
+      request => request.result.outcome === 'not-run' && executionsOf(request).started > 0,
+    ).length,
+    doubleEffects: confirmations.filter(request => executionsOf(request).done > 1).length,
+    answeredWithoutEffect: confirmed.filter(request => executionsOf(request).done === 0).length,
+    incompleteAnswers: answered.filter(request => request.body?.children?.length !== 1).length,
+    mismatchedAnswers: answered.filter(
+      request => request.body !== undefined && request.body.token !== request.token,
+    ).length,
+    unknownShare: requests.filter(request => request.result.outcome === 'unknown').length / requests.length,
   };
 }
 
 function ratesByClass(requests: readonly SentRequest[], seconds: number): VariantResult['goodput'] {
-  const confirmations = requests.filter(a => a.isConfirmation).length / seconds;
+  const confirmations = requests.filter(request => request.isConfirmation).length / seconds;
   const total = requests.length / seconds;
   return { total, byClass: { confirmation: confirmations, interactive: total - confirmations } };
 }
--- a/packages/bench/src/results.ts
+++ b/packages/bench/src/results.ts
@@ -7,11 +7,16 @@
 export interface VariantResult {
   goodput: { total: number; byClass: Record<string, number> };
   offered: { total: number; byClass: Record<string, number> };
-  /** Ratio of requests with a complete response to all requests, by class, during the trigger. */
+  /**
+   * Ratio of answered requests by class, or by failure domain; in overload experiments, ratio of complete responses to the
+   * requests that were due during the trigger.
+   */
   answeredShare: Record<string, number>;
+  /** Capacity of the bottleneck during the trigger. */
   capacity?: number;
+  /** Total goodput relative to the capacity or the offered rate, whichever is lower. */
   goodputOverCapacity?: number;
-  /** Seconds from the end of the trigger until goodput is normal and stays so; -1 if it never was. */
+  /** Seconds from the end of the trigger until the success ratio is normal and stays so; -1 if it never does. */
   recoverySeconds?: number;
   /** Highest number of executions under one request id, from the ledgers of the upstreams. */
   triesPerRequestMax: number;
@@ -26,7 +31,7 @@
   mismatchedAnswers: number;
   /** Ratio of requests with the outcome `unknown`. */
   unknownShare: number;
-  /** Outcomes of the requests that were due during the trigger, by class. */
+  /** Outcomes by class; in overload experiments, of the requests that were due during the trigger. */
   outcomes: Record<string, Record<string, number>>;
   /** Mean utilisation of the machine's processors; above 0.85 the machine, not the upstreams, limits the figures. */
   processorUse?: number;
@@ -107,7 +112,7 @@
   return -1;
 }
 
-/** Counts one-second intervals in which a class had a lower success ratio than the next lower class. */
+/** Counts one-second intervals in which a class had a success ratio more than `INVERSION_MARGIN` below that of the next lower class. */
 export function countInversions(samples: readonly Sample[], trigger: Trigger): number {
   let count = 0;
   for (let at = trigger.from; at < trigger.to; at += 1000) {
