--- a/packages/caller/src/caller.ts
+++ b/packages/caller/src/caller.ts
@@ -1,4 +1,4 @@
-/** Client for callers: sends requests to one of several daemons, and resends non-idempotent ones under the same request id. */
+/** Client for callers: sends requests to several daemons in turn until the outcome is known, non-idempotent ones under one request id. */
 import { type Clock, type Random } from '@cleatquay/clock';
 import { type Dispatcher, Pool } from 'undici';
 
@@ -121,7 +121,7 @@
   }
 }
 
-/** Time beyond the deadline to wait for the daemon's own timeout response. */
+/** Added to an attempt's timeout, so that the daemon's own timeout response can arrive at the deadline. */
 const RESPONSE_GRACE_MS = 250;
 
 const NO_RESPONSE: CallerResult = {
--- a/packages/cli/src/configurationCommands.ts
+++ b/packages/cli/src/configurationCommands.ts
@@ -17,7 +17,7 @@
   readonly text: string;
 }
 
-/** Commands on the operator's file and the platform; each returns its output. */
+/** Commands on the operator file and the platform; each returns its output. */
 export class ConfigurationCommands {
   constructor(private readonly store: ConfigurationStore) {}
 
--- a/packages/cli/src/fleetCommands.ts
+++ b/packages/cli/src/fleetCommands.ts
@@ -83,7 +83,7 @@
   async members(): Promise<string> {
     const { members } = await requestJson<DaemonStatus>(this.daemon, 'GET', '/status');
     const rows = members.map(m => [m.address, m.operatorAddress, m.failureDomain, m.state.toLowerCase()]);
-    return table(['daemon', 'operators', 'failure domain', 'state'], rows);
+    return table(['daemon', 'operator address', 'failure domain', 'state'], rows);
   }
 
   /** Lists the upstreams of each service in the daemon's member table. */
@@ -162,7 +162,7 @@
       : 'No daemon has a decision trace of that request.';
   }
 
-  /** Waits until every live member has this generation with this content, or a later one; after the timeout, throws an error that names the others. */
+  /** Waits until every live member has this generation with this content, or a later one; throws an error that names the others after `timeoutMs`. */
   async waitFor(generation: number, digest: string, timeoutMs: number): Promise<string> {
     const end = this.clock.now() + timeoutMs;
     for (;;) {
@@ -178,22 +178,24 @@
   private async membersWithout(generation: number, digest: string): Promise<string[]> {
     const { members } = await requestJson<DaemonStatus>(this.daemon, 'GET', '/status');
     const up = members.filter(member => member.state === 'ALIVE' || member.state === 'SUSPECT');
-    const seen = await Promise.all(up.map(member => fetchStatus(member)));
-    const hasIt = (status: DaemonStatus | undefined) =>
+    const statuses = await Promise.all(up.map(member => fetchStatus(member)));
+    const hasConfiguration = (status: DaemonStatus | undefined) =>
       status !== undefined &&
       (status.generation > generation || (status.generation === generation && status.digest === digest));
-    return up.filter((_, i) => !hasIt(seen[i])).map(member => member.address);
+    return up.filter((_, i) => !hasConfiguration(statuses[i])).map(member => member.address);
   }
 }
 
 /** Sums the counts of all daemons, most requests first. */
 function organisationRows(counts: readonly Record<string, DispositionCounts>[]): (string | number)[][] {
   const names = [...new Set(counts.flatMap(count => Object.keys(count)))];
-  const sum = (name: string, end: RequestDisposition) =>
-    counts.reduce((total, count) => total + (count[name]?.[end] ?? 0), 0);
+  const sum = (name: string, disposition: RequestDisposition) =>
+    counts.reduce((total, count) => total + (count[name]?.[disposition] ?? 0), 0);
   const rows = names.map(name => {
-    const ends = (['answered', 'over-quota', 'refused', 'failed'] as const).map(end => sum(name, end));
-    return [name, ends.reduce((total, end) => total + end, 0), ...ends];
+    const sums = (['answered', 'over-quota', 'refused', 'failed'] as const).map(disposition =>
+      sum(name, disposition),
+    );
+    return [name, sums.reduce((total, count) => total + count, 0), ...sums];
   });
   return rows.sort((a, b) => Number(b[1]) - Number(a[1]));
 }
@@ -203,8 +205,8 @@
 }
 
 async function statusRow(member: MemberStatus): Promise<(string | number)[]> {
-  const isGone = member.state === 'DEAD' || member.state === 'LEFT';
-  const status = isGone ? undefined : await fetchStatus(member);
+  const isDown = member.state === 'DEAD' || member.state === 'LEFT';
+  const status = isDown ? undefined : await fetchStatus(member);
   const upstream = status?.upstreams[0];
   const state = upstream?.draining ? 'draining' : member.state.toLowerCase();
   const load = upstream?.load;
--- a/packages/cli/src/logExplanation.ts
+++ b/packages/cli/src/logExplanation.ts
@@ -32,7 +32,7 @@
   const missing = [
     own.some(({ msg }) => msg === START_MESSAGE) ? '' : `"${START_MESSAGE}"`,
     own.some(({ msg }) => END_MESSAGES.includes(msg)) ? '' : `"${END_MESSAGES.join('" or "')}"`,
-  ].filter(what => what !== '');
+  ].filter(message => message !== '');
   if (missing.length > 0) {
     const message = `For request ${requestId} the logs have ${String(own.length)} lines, but not ${missing.join(' and ')}.`;
     throw new Failure(message, { result: 'linesMissing' });
@@ -49,7 +49,7 @@
     const read = JSON.parse(line.slice(line.indexOf('{'))) as Partial<LogLine>;
     const { request, at, msg } = read;
     if (request === undefined || at === undefined || msg === undefined) return [];
-    const isCall = CALL_ID_SEPARATORS.some(mark => request.startsWith(requestId + mark));
+    const isCall = CALL_ID_SEPARATORS.some(separator => request.startsWith(requestId + separator));
     return request === requestId || isCall ? [{ ...read, request, at, msg }] : [];
   } catch {
     // A log may contain lines of other programs, and its last line may be truncated.
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -63,7 +63,7 @@
   if (flags.wait) print(await fleetCommands(flags).waitFor(generation, digest, flags.waitMs));
 }
 
-const FILE_OPTION = { type: 'string', demandOption: true, describe: "the operator's file" } as const;
+const FILE_OPTION = { type: 'string', demandOption: true, describe: 'the operator file' } as const;
 const GENERATION_OPTION = { type: 'number' } as const;
 const WAIT_OPTIONS = {
   wait: { type: 'boolean', describe: 'wait until it is active on all daemons (needs --daemon)' },
--- a/packages/standins/src/upstreamMain.ts
+++ b/packages/standins/src/upstreamMain.ts
@@ -8,7 +8,7 @@
 const argv = await yargs(hideBin(process.argv))
   .options({
     service: { type: 'string', demandOption: true },
-    file: { type: 'string', demandOption: true, describe: "the operator's file" },
+    file: { type: 'string', demandOption: true, describe: 'the operator file' },
     callerUrl: { type: 'string', demandOption: true },
     operatorUrl: { type: 'string', demandOption: true },
     behaviour: { type: 'string', default: '{}', describe: 'JSON, see UpstreamBehaviour' },
