--- a/packages/protocol/src/messageFactories.ts
+++ b/packages/protocol/src/messageFactories.ts
@@ -5,7 +5,7 @@
 /** Matches any process at an address. */
 export const ANY_EPOCH = 0;
 
-/** Load of a daemon that reports none; it refuses no admission level. */
+/** Load of a daemon that reports none; its admission level refuses no request. */
 export function emptyLoad(): Load {
   return { inFlight: 0, queued: 0, limit: 0, admissionLevel: Number.MAX_VALUE };
 }
