--- a/packages/quarantine/src/crashHistory.ts
+++ b/packages/quarantine/src/crashHistory.ts
@@ -5,7 +5,7 @@
  */
 import { type Clock } from '@cleatquay/clock';
 
-/** More crashes than a fleet has before a query of death is quarantined; the oldest is evicted. */
+/** Maximum number of retained crashes, more than a fleet has before a query of death is quarantined; the oldest is evicted. */
 const MAX_CRASHES = 300;
 /** How long a crash is retained. */
 const RETENTION_MS = 3_600_000;
@@ -21,7 +21,7 @@
   culprit: string | undefined;
 }
 
-/** An upstream start that crashed, and the requests that may have caused it. */
+/** A process start of an upstream that crashed, and the requests that may have caused the crash. */
 export interface Crash {
   readonly start: string;
   readonly fingerprints: readonly string[];
@@ -78,12 +78,12 @@
     return [...(this.startsByRequest.get(fingerprint) ?? [])];
   }
 
-  /** Local time at which this daemon learned of the latest of those crashes, ms. */
+  /** Local time at which this daemon learned of the latest crash in `crashedUnder`, ms. */
   lastCrashUnder(fingerprint: string): number {
     return Math.max(...this.crashedUnder(fingerprint).map(start => this.records.get(start)?.learnedAt ?? 0));
   }
 
-  /** Requests suspected of at least so many crashes. */
+  /** Requests suspected of at least `minCrashes` crashes. */
   withCrashes(minCrashes: number): string[] {
     return [...this.startsByRequest]
       .filter(([, starts]) => starts.size >= minCrashes)
--- a/packages/quarantine/src/findings.ts
+++ b/packages/quarantine/src/findings.ts
@@ -4,10 +4,10 @@
 import { type Verdict, isQuarantined } from './verdicts.js';
 
 const FINGERPRINT_BYTES = FINGERPRINT_DIGITS / 2;
-/** Most starts in one finding, which has to fit into a datagram. */
+/** Maximum number of process starts in one finding, which has to fit into a datagram. */
 const MAX_STARTS = 8;
 const MAX_START_CHARS = 64;
-/** Longest method and path that a finding carries. */
+/** Maximum length of the method and path in a finding. */
 export const MAX_ASKS_CHARS = 100;
 
 /** Creates a finding about requests and process starts of upstreams. */
--- a/packages/quarantine/src/fingerprint.ts
+++ b/packages/quarantine/src/fingerprint.ts
@@ -28,13 +28,13 @@
   'x-request-id',
 ]);
 
-/** Daemons keep no more of a body; the rest is only streamed. */
+/** Daemons buffer no more of a body; the rest is only streamed. */
 const MAX_HASHED_BODY_BYTES = 65_536;
 
 /** The parts of a request's head that enter its fingerprint. */
 export type FingerprintHead = Pick<RequestHead, 'method' | 'path' | 'headers'>;
 
-/** Hashes method, path, query, the headers that identify the caller, and the body up to a maximum length. */
+/** Hashes method, path, query, the headers that stay the same in every attempt, and the body up to a maximum length. */
 export function fingerprintOf({ method, path, headers }: FingerprintHead, body: Uint8Array): string {
   return createHash('sha256')
     .update(`${method} ${path}\n${stableHeaders(headers)}\n`)
@@ -46,10 +46,10 @@
 /** The headers that stay the same in every attempt, from a block of alternating names and values. */
 function stableHeaders(block: string): string {
   const lines = block.split('\n');
-  let lasting = '';
+  let stable = '';
   for (let i = 0; i + 1 < lines.length; i += 2) {
     const name = (lines[i] ?? '').toLowerCase();
-    if (!PER_ATTEMPT_HEADERS.has(name)) lasting += `${name}:${lines[i + 1] ?? ''}\n`;
+    if (!PER_ATTEMPT_HEADERS.has(name)) stable += `${name}:${lines[i + 1] ?? ''}\n`;
   }
-  return lasting;
+  return stable;
 }
--- a/packages/quarantine/src/quarantine.ts
+++ b/packages/quarantine/src/quarantine.ts
@@ -31,7 +31,7 @@
 const STRONG_SUSPECT_CRASHES = 2;
 /** Delay of a verdict, so that two rounds of gossip can deliver what clears the request; until then it is refused already. */
 const DECISION_DELAY_MS = 250;
-/** Retries of a quarantined request are harmless but futile, so callers are told not to retry soon. */
+/** Retries of a quarantined request are harmless but futile, so responses name a long delay. */
 const QUARANTINED_RETRY_AFTER_MS = 60_000;
 const UNDECIDED_RETRY_AFTER_MS = 2 * DECISION_DELAY_MS;
 /** Number of requests whose method and path are kept for display. */
@@ -143,8 +143,8 @@
   }
 
   /**
-   * Reports that the local upstream crashed with these requests in flight. Resolves when the other daemons'
-   * stored crashes are loaded, or the maximum wait is over.
+   * Records and broadcasts that the local upstream crashed with these requests in flight. Resolves when the other
+   * daemons' stored crashes are loaded, or the maximum wait is over.
    */
   async recordLocalCrash(start: string, requests: readonly SuspectRequest[]): Promise<void> {
     if (requests.length === 0) return;
@@ -166,8 +166,8 @@
   }
 
   /**
-   * Reports that a request that this daemon sent was in flight when a remote upstream crashed; that VM's daemon
-   * may fail before it reports it.
+   * Records and broadcasts that a request that this daemon sent was in flight when a remote upstream crashed, since
+   * the daemon of that VM may fail before it does.
    */
   recordRemoteCrash({ fingerprint, method, path }: SuspectRequest, start: string): void {
     this.setDescription(fingerprint, `${method} ${path}`);
@@ -287,7 +287,7 @@
     if (this.applyVerdict(verdict, from)) this.options.broadcast(findingOfVerdict(verdict));
   }
 
-  /** Applies a newer verdict; daemons that saw one of its crashes store it. A release clears the request of all crashes so far. */
+  /** Applies a newer verdict; daemons whose local upstream had one of its crashes store it. A release clears the request of all crashes so far. */
   private applyVerdict(
     verdict: Verdict,
     from: 'its crashes' | 'an operator' | 'another daemon' | 'a stored row',
@@ -302,7 +302,7 @@
       ? 'A request is quarantined.'
       : 'A request is released from quarantine.';
     this.options.log(message, { fingerprint, asks, starts, from });
-    if (from !== 'a stored row' && this.persistence.sawAnyOf(starts))
+    if (from !== 'a stored row' && this.persistence.includesLocalCrash(starts))
       void this.persistence.write().catch(() => undefined);
     return true;
   }
--- a/packages/quarantine/src/quarantinePersistence.ts
+++ b/packages/quarantine/src/quarantinePersistence.ts
@@ -9,9 +9,9 @@
 import { type Crash } from './crashHistory.js';
 import { type Verdict } from './verdicts.js';
 
-/** Longest wait of requests for the first read after a daemon's start, about ten times the usual duration. */
+/** Maximum wait of requests for the first read after a daemon's start, about ten times the usual duration. */
 const MAX_LOAD_WAIT_MS = 500;
-/** Longest wait for the other daemons' crashes before a daemon responds to the callers of a crashed upstream. */
+/** Maximum wait for the other daemons' crashes before a daemon responds to the callers of a crashed upstream. */
 const MAX_READ_WAIT_MS = 100;
 /**
  * After this delay, most requests that were in flight at a crash have completed elsewhere and need not be
@@ -20,10 +20,10 @@
  */
 const WRITE_DELAY_MS = 1000;
 const REWRITE_DELAY_MS = 2000;
-/** Pause after a failed write, which spares a platform that is down. */
+/** Delay after a failed write, which spares a platform that is down. */
 const WRITE_RETRY_DELAY_MS = 5000;
 const MAX_WRITE_ATTEMPTS = 3;
-/** Most crashes in a row; the oldest are removed. With 64 requests each they take less than half of the row's 64 KiB. */
+/** Maximum number of crashes in a row; the oldest are removed. With 64 requests each they take less than half of the row's 64 KiB. */
 const MAX_RECORDED_CRASHES = 20;
 /** How long a crash is kept in a row, by the writer's wall clock. */
 const RETENTION_MS = 3_600_000;
@@ -74,8 +74,8 @@
   async recordCrash(start: string): Promise<void> {
     const { clock } = this.options;
     this.ownStarts.add(start);
-    const [first] = this.ownStarts;
-    if (this.ownStarts.size > MAX_RECORDED_CRASHES && first !== undefined) this.ownStarts.delete(first);
+    const [oldest] = this.ownStarts;
+    if (this.ownStarts.size > MAX_RECORDED_CRASHES && oldest !== undefined) this.ownStarts.delete(oldest);
     this.scheduleWrite(WRITE_DELAY_MS);
     await Promise.race([this.read(), clock.sleep(MAX_READ_WAIT_MS, this.stopped.signal)]);
   }
@@ -97,8 +97,8 @@
     return written;
   }
 
-  /** Whether one of these crashes was one of the local upstream. */
-  sawAnyOf(starts: readonly string[]): boolean {
+  /** Whether the local upstream crashed in one of these process starts. */
+  includesLocalCrash(starts: readonly string[]): boolean {
     return starts.some(start => this.ownStarts.has(start));
   }
 
@@ -122,7 +122,7 @@
     this.version = own?.version ?? 0;
     const oldest = clock.date().getTime() - RETENTION_MS;
     for (const row of rows) onRow({ ...row, ends: row.ends.filter(({ at }) => at > oldest) });
-    this.rememberTimes(own);
+    this.setRecordedTimes(own);
   }
 
   private scheduleWrite(ms: number): void {
@@ -138,9 +138,9 @@
       const row = this.buildRow();
       const { isDone, version, found } = await table.write(service, row, this.version, this.stopped.signal);
       this.version = version;
-      if (isDone) return this.rememberTimes(row);
+      if (isDone) return this.setRecordedTimes(row);
       if (found) onRow(found);
-      this.rememberTimes(found);
+      this.setRecordedTimes(found);
       if (found && coversRow(found, row)) return;
     }
     throw new Error('Other daemons changed the row during each attempt to write it.');
@@ -159,7 +159,7 @@
     return { ends, verdicts: verdicts() };
   }
 
-  private rememberTimes(row: QuarantineRow | undefined): void {
+  private setRecordedTimes(row: QuarantineRow | undefined): void {
     this.recordedAt.clear();
     for (const { start, at } of row?.ends ?? []) this.recordedAt.set(start, at);
   }
--- a/packages/quarantine/src/recentResponses.ts
+++ b/packages/quarantine/src/recentResponses.ts
@@ -1,13 +1,13 @@
 /**
- * Requests that were answered recently. Since upstreams survived them, a popular request is cleared at once
- * when it happens to be in flight at a crash. Fingerprints are computed on demand.
+ * Requests that got a complete response recently. Since upstreams ran them without a crash, a frequent request is
+ * cleared at once when it happens to be in flight at a crash. Fingerprints are computed on demand.
  */
 import { type Clock } from '@cleatquay/clock';
 import { type FingerprintHead, fingerprintOf } from './fingerprint.js';
 
 /** Number of retained requests, of about 300 bytes each. */
 const MAX_REQUESTS = 256;
-/** How long a response clears its request; what upstreams survived earlier may crash them now. */
+/** How long a response clears its request; a request that completed earlier may crash upstreams now. */
 const VALID_FOR_MS = 10_000;
 /** Requests with longer bodies are not retained. */
 const MAX_BODY_BYTES = 1024;
--- a/packages/quarantine/src/suspectSemaphore.ts
+++ b/packages/quarantine/src/suspectSemaphore.ts
@@ -33,7 +33,7 @@
     const semaphore = this.byStart.get(start) ?? { available: PERMITS_PER_START, queue: [] };
     this.byStart.set(start, semaphore);
     const permits = wanted === 'all-places' ? PERMITS_PER_START : 1;
-    const hasPermits = await acquired(semaphore, permits, signal);
+    const hasPermits = await waitForPermits(semaphore, permits, signal);
     return { [Symbol.dispose]: () => this.release(start, semaphore, hasPermits ? permits : 0) };
   }
 
@@ -45,7 +45,7 @@
 }
 
 /** Resolves to whether the permits were granted before the signal aborted. */
-function acquired(semaphore: Semaphore, permits: number, signal: CancelSignal): Promise<boolean> {
+function waitForPermits(semaphore: Semaphore, permits: number, signal: CancelSignal): Promise<boolean> {
   if (signal.aborted) return Promise.resolve(false);
   return new Promise(resolve => {
     const cancel = () => {
--- a/packages/quarantine/src/verdicts.ts
+++ b/packages/quarantine/src/verdicts.ts
@@ -5,8 +5,8 @@
 import { crc32 } from 'node:zlib';
 
 /**
- * Each verdict takes several crashes, so that no caller can fill the memory with names. The verdicts take up to
- * half of the row's 64 KiB.
+ * Maximum number of verdicts, which take up to half of the row's 64 KiB. Each verdict takes several crashes, so that no
+ * caller can fill the memory with verdicts.
  */
 const MAX_VERDICTS = 120;
 
