--- a/packages/standins/src/ledger.ts
+++ b/packages/standins/src/ledger.ts
@@ -7,7 +7,7 @@
   readonly token: string;
   readonly route: string;
   readonly requestId: string;
-  /** Whether the execution reached its effect. */
+  /** Whether the execution completed and took effect. */
   readonly done: boolean;
 }
 
--- a/packages/standins/src/loopbackProxy.ts
+++ b/packages/standins/src/loopbackProxy.ts
@@ -7,7 +7,7 @@
 /** Forwards connections unless a fault is injected. */
 export class LoopbackProxy implements AsyncDisposable {
   mode: ProxyMode = 'pass';
-  private readonly open = new Set<Socket>();
+  private readonly openSockets = new Set<Socket>();
   private readonly server: Server;
 
   private constructor(private readonly target: { readonly host: string; readonly port: number }) {
@@ -29,7 +29,7 @@
 
   /** Open connections stop carrying data in both directions but stay open; new ones work. */
   stall(): void {
-    for (const socket of this.open) {
+    for (const socket of this.openSockets) {
       socket.unpipe();
       socket.pause();
     }
@@ -38,11 +38,11 @@
   /** Resets open connections, and new ones until the mode is set to `pass`. */
   reset(): void {
     this.mode = 'reset';
-    for (const socket of this.open) socket.resetAndDestroy();
+    for (const socket of this.openSockets) socket.resetAndDestroy();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    for (const socket of this.open) socket.destroy();
+    for (const socket of this.openSockets) socket.destroy();
     await new Promise(resolve => this.server.close(resolve));
   }
 
@@ -57,11 +57,11 @@
   }
 
   private pipe(from: Socket, to: Socket): void {
-    this.open.add(from);
+    this.openSockets.add(from);
     from.pipe(to);
     from.on('error', () => to.destroy());
     from.on('close', () => {
-      this.open.delete(from);
+      this.openSockets.delete(from);
       to.destroy();
     });
   }
--- a/packages/standins/src/platform/platformStoreStandin.ts
+++ b/packages/standins/src/platform/platformStoreStandin.ts
@@ -145,10 +145,11 @@
     for (;;) {
       if (after < this.historyStart) return { status: 410, body: {} };
       const rows = this.history.filter(row => row.table === table && row.rowVersion > after);
-      const left = end - performance.now();
-      if (rows.length > 0 || left <= 0) return { status: 200, body: { rows, ...this.versionAndTime() } };
+      const remainingMs = end - performance.now();
+      if (rows.length > 0 || remainingMs <= 0)
+        return { status: 200, body: { rows, ...this.versionAndTime() } };
       await new Promise<void>(resolve => {
-        const timer = setTimeout(resolve, left);
+        const timer = setTimeout(resolve, remainingMs);
         const wake = () => {
           clearTimeout(timer);
           this.feedWaiters.delete(wake);
@@ -160,8 +161,8 @@
   }
 
   private apply({ expect = [], puts = [], remove = [] }: Transaction): { status: number; body: object } {
-    const versionOf = (place: { table: string; part: string; key: string }) =>
-      this.rows.get(rowId(place))?.rowVersion ?? 0;
+    const versionOf = (id: { table: string; part: string; key: string }) =>
+      this.rows.get(rowId(id))?.rowVersion ?? 0;
     if (expect.some(e => versionOf(e) !== e.rowVersion)) {
       const rows = expect.flatMap(e => this.rows.get(rowId(e)) ?? []);
       return { status: 412, body: { rows, ...this.versionAndTime() } };
@@ -172,9 +173,9 @@
       this.rows.set(rowId(put), row);
       this.history.push(row);
     }
-    for (const place of remove) {
-      this.rows.delete(rowId(place));
-      this.history.push({ ...place, value: '', rowVersion: this.version, deleted: true });
+    for (const id of remove) {
+      this.rows.delete(rowId(id));
+      this.history.push({ ...id, value: '', rowVersion: this.version, deleted: true });
     }
     for (const wake of this.feedWaiters) wake();
     return { status: 200, body: this.versionAndTime() };
--- a/packages/standins/src/platform/platformUpstreamStandin.ts
+++ b/packages/standins/src/platform/platformUpstreamStandin.ts
@@ -5,7 +5,7 @@
   type Server,
   type ServerResponse,
   createServer,
-  request as ask,
+  request as sendRequest,
 } from 'node:http';
 import { type AddressInfo } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -152,16 +152,16 @@
   }
 
   /** Announces itself periodically until it is disposed of. */
-  keepAnnouncing(everyMs: number): void {
+  keepAnnouncing(intervalMs: number): void {
     this.isAnnouncing = true;
-    this.heartbeatMs = everyMs;
-    const again = async (): Promise<void> => {
+    this.heartbeatMs = intervalMs;
+    const announceRepeatedly = async (): Promise<void> => {
       while (!this.stopped.signal.aborted && this.isAnnouncing) {
         if (this.server.listening) await this.announce().catch(() => 0);
-        await sleep(everyMs, undefined, { signal: this.stopped.signal }).catch(() => undefined);
+        await sleep(intervalMs, undefined, { signal: this.stopped.signal }).catch(() => undefined);
       }
     };
-    void again();
+    void announceRepeatedly();
   }
 
   /** Stops the periodic announcements. */
@@ -328,7 +328,7 @@
 async function sendCall(daemon: string, host: string, path: string, id: string): Promise<number> {
   const [ip, port] = daemon.split(':');
   return new Promise(resolve => {
-    const call = ask(
+    const call = sendRequest(
       {
         host: ip,
         port,
--- a/packages/standins/src/storeStandin.ts
+++ b/packages/standins/src/storeStandin.ts
@@ -6,7 +6,7 @@
 
 /** Faults that are active now. */
 export interface StoreFaults {
-  /** Requests get no response and have no effect. */
+  /** Requests have no effect, and their connections are closed without a response. */
   down: boolean;
   /** Added to the time of every response. */
   delayMs: number;
@@ -51,8 +51,8 @@
     if (this.faults.down) return void response.destroy();
     if (this.faults.delayMs > 0) await sleep(this.faults.delayMs);
     const result = this.handle(request.method ?? 'GET', path, body);
-    const lost = request.method !== 'GET' && this.random() < this.faults.loseAnswers;
-    if (lost) return void response.destroy();
+    const isLost = request.method !== 'GET' && this.random() < this.faults.loseAnswers;
+    if (isLost) return void response.destroy();
     response.statusCode = result === undefined ? 404 : 200;
     response.end(result ?? '');
   }
