--- a/utils/bundle.mjs
+++ b/utils/bundle.mjs
@@ -14,7 +14,7 @@
 /**
  * Modules that the daemon's libraries load at startup and that the daemon uses rarely or never. Deferring them reduces the
  * private memory of a daemon that has loaded its bundle from 36.8 to 21.3 MB, of which Node.js itself takes 6.3 (Private_Dirty
- * after a garbage collection, one machine).
+ * after a garbage collection).
  */
 const deferred = new DeferredModules({
   internalModules: [
