--- a/packages/bench/src/experiments/fleetRuns.ts
+++ b/packages/bench/src/experiments/fleetRuns.ts
@@ -87,7 +87,5 @@
 }
 
 function answeredShare(requests: readonly SentRequest[]): number {
-  return (
-    requests.filter(request => request.result.outcome === 'answered').length / Math.max(1, requests.length)
-  );
+  return requests.filter(sent => sent.result.outcome === 'answered').length / Math.max(1, requests.length);
 }
