--- a/packages/bench/src/chain.ts
+++ b/packages/bench/src/chain.ts
@@ -22,17 +22,18 @@
   return (upstreamsPerService(depth) * BOTTLENECK.slots * 1000) / BOTTLENECK.serviceMs;
 }
 
-/** Name of the service at a depth; 1 is the ingress service. */
-export function serviceAt(depth: number): string {
-  return `s${String(depth)}`;
+/** Name of the service at a position in the chain; 1 is the ingress service. */
+export function serviceAt(position: number): string {
+  return `s${String(position)}`;
 }
 
 /** The operator file of a chain; each request to a service makes `fanOut` calls to the next. */
 export function chainFile(depth: number, fanOut = 1): OperatorFile {
   const services: Record<string, unknown> = {};
-  for (let at = 1; at <= depth; at++) {
-    const { slots } = at === depth ? BOTTLENECK : OTHER_SERVICE;
-    const calls = at < depth ? Array.from({ length: fanOut }, () => `${serviceAt(at + 1)}.run`) : [];
+  for (let position = 1; position <= depth; position++) {
+    const { slots } = position === depth ? BOTTLENECK : OTHER_SERVICE;
+    const calls =
+      position < depth ? Array.from({ length: fanOut }, () => `${serviceAt(position + 1)}.run`) : [];
     const route = { idempotent: true, timeoutMs: TIMEOUT_MS, calls };
     const run = { ...route, method: 'GET', path: '/run', class: CLASSES[2] };
     const ingressRoutes = {
@@ -40,7 +41,11 @@
       normal: { ...route, method: 'GET', path: '/normal', class: CLASSES[1] },
       bulk: { ...route, method: 'GET', path: '/bulk', class: CLASSES[2] },
     };
-    services[serviceAt(at)] = { slots, maxQueueMs: 120, routes: at === 1 ? ingressRoutes : { run } };
+    services[serviceAt(position)] = {
+      slots,
+      maxQueueMs: 120,
+      routes: position === 1 ? ingressRoutes : { run },
+    };
   }
   const file = {
     deployment: 'chain',
@@ -56,11 +61,11 @@
 export function chainNodes(depth: number): FleetOptions['nodes'] {
   const upstreams = upstreamsPerService(depth);
   return Array.from({ length: depth * upstreams }, (_, i) => {
-    const at = Math.floor(i / upstreams) + 1;
+    const position = Math.floor(i / upstreams) + 1;
     return {
-      service: serviceAt(at),
+      service: serviceAt(position),
       failureDomain: FAILURE_DOMAINS[i % upstreams] ?? '',
-      behaviour: at === depth ? BOTTLENECK : OTHER_SERVICE,
+      behaviour: position === depth ? BOTTLENECK : OTHER_SERVICE,
     };
   });
 }
--- a/packages/bench/src/experiments/capacity.ts
+++ b/packages/bench/src/experiments/capacity.ts
@@ -153,14 +153,14 @@
 
 function createMember(address: string) {
   const upstreams = [{ service: 'history', address, slots: 90, connections: 630, draining: false }];
-  const places = {
+  const location = {
     address,
     gossipAddress: `${address}1`,
     operatorAddress: `${address}2`,
     failureDomain: 'regina-a',
   };
   return {
-    ...places,
+    ...location,
     epoch: 1_764_000_000_000,
     incarnation: 3,
     state: 'ALIVE' as const,
