--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -193,8 +193,8 @@
   }
 
   /**
-   * Makes a daemon drop its traffic with the given daemons and with no others; an empty list ends the partition. Needs the
-   * flag `--faultHooks`.
+   * Makes a daemon drop its gossip with the given daemons, in both directions, and its calls to them; calls from them still
+   * arrive. Replaces an earlier list; an empty one ends the partition. Needs the flag `--faultHooks`.
    */
   async setPartition(node: FleetNode, from: readonly FleetNode[]): Promise<void> {
     const addresses = from.flatMap(({ addresses: { inner, gossip } }) => [inner, gossip]);
