--- a/tests/admission.spec.ts
+++ b/tests/admission.spec.ts
@@ -10,7 +10,7 @@
 const CLASSES = 3;
 const REMAINING_MS = 60_000;
 
-function admission(clock: ManualClock, slots: number): Admission {
+function createAdmission(clock: ManualClock, slots: number): Admission {
   return new Admission({
     clock,
     random: () => 0.5,
@@ -21,18 +21,18 @@
   });
 }
 
-const settle = () => new Promise(resolve => setImmediate(resolve));
+const nextIteration = () => new Promise(resolve => setImmediate(resolve));
 
 interface TrackedRequest {
   readonly level: number;
-  state: 'waiting' | 'running' | 'refused';
+  state: 'waiting' | 'running' | 'ended';
   permit?: Permit;
 }
 
 describe('admission', () => {
   describe('the order in which requests are refused', () => {
     it('never refuses a request while one of lower priority stays in the queue', async () => {
-      const step = fc.oneof(
+      const anyStep = fc.oneof(
         fc.record({
           kind: fc.constant('request' as const),
           level: fc.double({ min: 0, max: CLASSES, maxExcluded: true, noNaN: true }),
@@ -43,35 +43,35 @@
       await fc.assert(
         fc.asyncProperty(
           fc.integer({ min: 1, max: 6 }),
-          fc.array(step, { maxLength: 80 }),
+          fc.array(anyStep, { maxLength: 80 }),
           async (slots, steps) => {
             const clock = new ManualClock();
-            using gate = admission(clock, slots);
+            using admission = createAdmission(clock, slots);
             const requests: TrackedRequest[] = [];
             const refusedNow: TrackedRequest[] = [];
             const recordResult = (request: TrackedRequest) => (result: Permit | Refusal) => {
-              request.state = 'release' in result ? 'running' : 'refused';
+              request.state = 'release' in result ? 'running' : 'ended';
               if ('release' in result) request.permit = result;
               else refusedNow.push(request);
             };
-            for (const s of steps) {
-              if (s.kind === 'request') {
-                const request: TrackedRequest = { level: s.level, state: 'waiting' };
+            for (const step of steps) {
+              if (step.kind === 'request') {
+                const request: TrackedRequest = { level: step.level, state: 'waiting' };
                 requests.push(request);
-                void gate.request(s.level, REMAINING_MS, NEVER).then(recordResult(request));
-              } else if (s.kind === 'wait') clock.advance(s.ms);
+                void admission.request(step.level, REMAINING_MS, NEVER).then(recordResult(request));
+              } else if (step.kind === 'wait') clock.advance(step.ms);
               else {
-                const running = requests.filter(a => a.state === 'running');
-                const released = running[s.which % Math.max(1, running.length)];
+                const running = requests.filter(r => r.state === 'running');
+                const released = running[step.which % Math.max(1, running.length)];
                 if (released) {
-                  released.state = 'refused';
+                  released.state = 'ended';
                   released.permit?.release('answered');
                 }
               }
-              await settle();
-              const waiting = requests.filter(a => a.state === 'waiting');
-              expect(requests.filter(a => a.state === 'running').length).to.be.at.most(slots);
-              if (s.kind === 'request') {
+              await nextIteration();
+              const waiting = requests.filter(r => r.state === 'waiting');
+              expect(requests.filter(r => r.state === 'running').length).to.be.at.most(slots);
+              if (step.kind === 'request') {
                 const overtaken = refusedNow.some(refused => waiting.some(w => w.level > refused.level));
                 expect(overtaken, 'a request of lower priority stayed in the queue').to.equal(false);
               }
@@ -115,15 +115,17 @@
   describe('the admission level', () => {
     it('recovers within two seconds after the last refusal', async () => {
       const clock = new ManualClock();
-      using gate = admission(clock, 1);
-      const permit = (await gate.request(0.5, REMAINING_MS, NEVER)) as Permit;
-      const refusals = Array.from({ length: 40 }, (_, i) => gate.request(0.1 + i / 20, REMAINING_MS, NEVER));
+      using admission = createAdmission(clock, 1);
+      const permit = (await admission.request(0.5, REMAINING_MS, NEVER)) as Permit;
+      const refusals = Array.from({ length: 40 }, (_, i) =>
+        admission.request(0.1 + i / 20, REMAINING_MS, NEVER),
+      );
       clock.advance(600);
       permit.release('answered');
-      expect(gate.load().admissionLevel).to.be.below(CLASSES);
+      expect(admission.load().admissionLevel).to.be.below(CLASSES);
       clock.advance(2000);
-      await Promise.race([...refusals, settle()]);
-      expect(gate.load().admissionLevel).to.equal(CLASSES);
+      await Promise.race([...refusals, nextIteration()]);
+      expect(admission.load().admissionLevel).to.equal(CLASSES);
     });
   });
 
@@ -131,13 +133,13 @@
     let classes = 16;
     const clock = new ManualClock();
     const options = { clock, random: () => 0.5, slots: 1, maxQueueMs: () => 50, cold: false };
-    using gate = new Admission({ ...options, classes: () => classes });
-    expect(gate.load().admissionLevel).to.equal(16);
+    using admission = new Admission({ ...options, classes: () => classes });
+    expect(admission.load().admissionLevel).to.equal(16);
     clock.advance(100);
     classes = 3;
-    expect(gate.load().admissionLevel).to.equal(3);
+    expect(admission.load().admissionLevel).to.equal(3);
     classes = 5;
-    expect(gate.load().admissionLevel).to.equal(5);
+    expect(admission.load().admissionLevel).to.equal(5);
   });
 
   describe('the concurrency limit', () => {
@@ -148,12 +150,12 @@
           fc.array(fc.boolean(), { maxLength: 500 }),
           (slots, sheds) => {
             const clock = new ManualClock();
-            using gate = admission(clock, slots);
+            using admission = createAdmission(clock, slots);
             for (const shed of sheds) {
               clock.advance(60);
-              if (shed) gate.limit.onShed();
-              else gate.limit.onResponse();
-              expect(gate.limit.value).to.be.at.least(1).and.at.most(slots);
+              if (shed) admission.limit.onShed();
+              else admission.limit.onResponse();
+              expect(admission.limit.value).to.be.at.least(1).and.at.most(slots);
             }
           },
         ),
--- a/tests/attemptRegistry.spec.ts
+++ b/tests/attemptRegistry.spec.ts
@@ -7,24 +7,24 @@
 
 describe('the attempt registry', () => {
   it('never dispatches a sealed attempt, nor seals a dispatched one, in any order of events', async () => {
-    const event = fc.constantFrom('begin', 'dispatch', 'refused', 'answered', 'lost', 'seal');
+    const anyEvent = fc.constantFrom('register', 'dispatch', 'refused', 'answered', 'lost', 'seal');
     await fc.assert(
-      fc.asyncProperty(fc.array(event, { maxLength: 30 }), async events => {
+      fc.asyncProperty(fc.array(anyEvent, { maxLength: 30 }), async events => {
         const registry = new AttemptRegistry(new ManualClock(), () => 1000);
-        let admitting = false;
+        let registered = false;
         let dispatched = false;
         let sealed = false;
-        for (const what of events) {
-          if (what === 'begin') admitting = registry.register('id', 1) === undefined;
-          if (what === 'refused') registry.markRefused('id');
-          if (what === 'answered') registry.markEnded('id', RESPONSE);
-          if (what === 'lost') registry.markEnded('id', undefined);
-          if (what === 'dispatch' && admitting && registry.markDispatched('id')) {
+        for (const event of events) {
+          if (event === 'register') registered = registry.register('id', 1) === undefined;
+          if (event === 'refused') registry.markRefused('id');
+          if (event === 'answered') registry.markEnded('id', RESPONSE);
+          if (event === 'lost') registry.markEnded('id', undefined);
+          if (event === 'dispatch' && registered && registry.markDispatched('id')) {
             expect(sealed, 'dispatched after a seal').to.equal(false);
             expect(dispatched, 'dispatched twice').to.equal(false);
             dispatched = true;
           }
-          if (what === 'seal') {
+          if (event === 'seal') {
             const { state } = await registry.seal({ requestId: 'id', try: 1, targetEpoch: 0, waitMs: 0 });
             if (state === 'SEALED') expect(dispatched, 'sealed after a dispatch').to.equal(false);
             sealed ||= state === 'SEALED';
--- a/tests/bodyChecksum.spec.ts
+++ b/tests/bodyChecksum.spec.ts
@@ -11,9 +11,9 @@
       fc.property(fc.array(fc.oneof(fc.uint8Array({ maxLength: 20 }), EMPTY_CHUNK)), chunks => {
         const chunked = new BodyChecksum();
         for (const chunk of chunks) chunked.add(chunk);
-        const whole = new BodyChecksum();
-        whole.add(Buffer.concat(chunks));
-        expect(chunked.end).to.deep.equal(whole.end);
+        const unsplit = new BodyChecksum();
+        unsplit.add(Buffer.concat(chunks));
+        expect(chunked.end).to.deep.equal(unsplit.end);
       }),
     );
   });
--- a/tests/chains.spec.ts
+++ b/tests/chains.spec.ts
@@ -21,8 +21,8 @@
   betweenMs: 30,
   timeoutMs: 800,
 };
-const IMPORTANT_CHAINS: ChainLoad = {
-  name: 'important chains',
+const HIGH_PRIORITY_CHAINS: ChainLoad = {
+  name: 'high-priority chains',
   rank: 0,
   perSecond: 180,
   calls: 8,
@@ -41,7 +41,7 @@
   betweenMs: 0,
   timeoutMs: 2500,
 };
-const LOADS = [CHAINS, IMPORTANT_CHAINS, LONG_READS];
+const LOADS = [CHAINS, HIGH_PRIORITY_CHAINS, LONG_READS];
 
 /** Simulation runs by the ratio of calls that the service refuses; several tests share one. */
 const runs = new Map<number, Promise<ChainResult[][]>>();
--- a/tests/commandLine.spec.ts
+++ b/tests/commandLine.spec.ts
@@ -14,18 +14,18 @@
 
 describe('the command line', () => {
   let fleet: Fleet;
-  let folder: string;
+  let directory: string;
 
   before(async () => {
     fleet = await smallFleet([
       ['alarms', 'regina-a'],
       ['alarms', 'moose-b'],
     ]);
-    folder = mkdtempSync(join(tmpdir(), 'cleatquay-test-'));
+    directory = mkdtempSync(join(tmpdir(), 'cleatquay-test-'));
   });
 
   after(async () => {
-    rmSync(folder, { recursive: true });
+    rmSync(directory, { recursive: true });
     await fleet[Symbol.asyncDispose]();
   });
 
@@ -42,7 +42,7 @@
   /** Writes Frostline's file with another number of slots for alarms. */
   const writeFileWithSlots = (slots: number) => {
     const text = readFileSync(deployments.frostline!.path, 'utf8');
-    const path = join(folder, `${String(slots)}.json`);
+    const path = join(directory, `${String(slots)}.json`);
     writeFileSync(path, text.replace('"slots": 20', `"slots": ${String(slots)}`));
     return path;
   };
@@ -61,7 +61,7 @@
   });
 
   it('reports an invalid file by field and result code', async () => {
-    const path = join(folder, 'bad.json');
+    const path = join(directory, 'bad.json');
     writeFileSync(
       path,
       readFileSync(deployments.frostline!.path, 'utf8').replace('"retryBudget"', '"retryBudgt"'),
@@ -72,19 +72,19 @@
   });
 
   it('names the members that did not confirm a generation in time', async () => {
-    const frozen = fleet.nodes[1]!;
-    frozen.daemon.signal('SIGSTOP');
+    const suspended = fleet.nodes[1]!;
+    suspended.daemon.signal('SIGSTOP');
     const { code, err } = await cleatquay('apply', writeFileWithSlots(16), '--wait', '--waitMs=1500');
-    frozen.daemon.signal('SIGCONT');
-    expect(err).to.contain('CQ6002').and.to.contain(frozen.addresses.inner);
+    suspended.daemon.signal('SIGCONT');
+    expect(err).to.contain('CQ6002').and.to.contain(suspended.addresses.inner);
     expect(code).to.equal(4);
   });
 
   it('shows the status of all daemons', async () => {
     const { out } = await cleatquay('status');
     for (const { addresses } of fleet.nodes) expect(out).to.contain(addresses.inner);
-    const contents = out.match(/ [\da-f]{8} /g);
-    expect(contents, 'one digest for each daemon').to.have.length(fleet.nodes.length);
-    expect(new Set(contents)).to.have.property('size', 1);
+    const digests = out.match(/ [\da-f]{8} /g);
+    expect(digests, 'one digest for each daemon').to.have.length(fleet.nodes.length);
+    expect(new Set(digests)).to.have.property('size', 1);
   });
 });
--- a/tests/configuration.spec.ts
+++ b/tests/configuration.spec.ts
@@ -44,8 +44,8 @@
         const { generation, sections } = await store.read();
         expect(generation - 1).to.be.at.least(round);
         const slots = joinSections(sections).services.alarms!.slots;
-        const last = won.map(w => w.value.applied).find(applied => applied.generation === generation);
-        expect(last, 'the active generation was reported to its operator').to.not.equal(undefined);
+        const winner = won.map(w => w.value.applied).find(applied => applied.generation === generation);
+        expect(winner, 'the active generation was reported to its operator').to.not.equal(undefined);
         expect([1000 + round, 5000 + round]).to.include(slots);
         for (const lost of results.filter(r => r.status === 'rejected')) {
           expect((lost.reason as Failure).result).to.equal('applyConflict');
@@ -106,7 +106,7 @@
               ),
           );
           let published = 0;
-          const late: (() => void)[] = [];
+          const delayed: (() => void)[] = [];
           for (const { from, to, publish, delay } of messages) {
             if (publish && published < accepted.length) {
               const sections = splitSections(accepted[published]!);
@@ -119,8 +119,8 @@
               daemons[from]!.adopt(version, 'platform');
             }
             const response = daemons[from]!.createResponse(daemons[to]!.createRequest());
-            late.push(() => daemons[to]!.adoptResponse(response, 'peer'));
-            if (delay > 2) late.splice(0, delay).forEach(deliver => deliver());
+            delayed.push(() => daemons[to]!.adoptResponse(response, 'peer'));
+            if (delay > 2) delayed.splice(0, delay).forEach(deliver => deliver());
           }
           for (const daemon of daemons.filter(d => d.generation > 0)) {
             const expected = normalised(accepted[daemon.generation - 1]!);
--- a/tests/configurationChanges.spec.ts
+++ b/tests/configurationChanges.spec.ts
@@ -16,7 +16,7 @@
 import { configurationText, routeTo } from './fixtures/platformFleet.js';
 import { ProcessFleet, type ProcessNode, type ProcessVm } from './fixtures/platformProcesses.js';
 
-/** A change is active within 2 s; within 3 s after connections became unresponsive it may be late. */
+/** A change has to be active within 2 s, or within 3 s after connections became unresponsive. */
 const MAX_CHANGE_MS = 2000;
 const MAX_RECOVERY_MS = 3000;
 /** Additional time that a change may take while the store rejects some daemons. */
@@ -25,7 +25,7 @@
 const ALL_PAIRS_TIMEOUT_MS = 120_000;
 /** Load for long enough that garbage is collected several times. */
 const WARMUP_MS = 3000;
-/** Four readers wait for 4 s each; a second for the timeout, the rest for a busy machine and the log. */
+/** The long poll of each of the four readers takes 4 s; then a second for the timeout, and the rest for a busy machine and the log. */
 const MAX_FEED_WAIT_MS = 8000;
 
 const VMS: ProcessVm[] = [
@@ -36,8 +36,8 @@
 ];
 /** All VMs in one failure domain, without any other. */
 const ONE_DOMAIN: ProcessVm[] = VMS.map(vm => ({ ...vm, failureDomain: 'z1' }));
-const BOTH = [routeTo('history'), routeTo('alarms')];
-const ONE = [routeTo('history')];
+const BOTH_ROUTES = [routeTo('history'), routeTo('alarms')];
+const HISTORY_ROUTE = [routeTo('history')];
 
 describe('a change of the configuration, on daemons as processes', () => {
   let fleet: ProcessFleet;
@@ -45,12 +45,12 @@
   before(() => ProcessFleet.build());
 
   beforeEach(async () => {
-    fleet = await ProcessFleet.start(VMS, BOTH);
+    fleet = await ProcessFleet.start(VMS, BOTH_ROUTES);
   });
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
-  const write = (version: number, routes = BOTH) =>
+  const write = (version: number, routes = BOTH_ROUTES) =>
     fleet.store.put('op', 'config', configurationText(version, routes));
   const untilActive = (version: number, nodes: readonly ProcessNode[] = fleet.nodes) =>
     fleet.until(
@@ -65,7 +65,7 @@
     write(2);
     await untilActive(2);
     suspended!.signal('SIGSTOP');
-    write(3, ONE);
+    write(3, HISTORY_ROUTE);
     await Promise.all(others.map(node => node.restart()));
     await untilActive(3, others);
     suspended!.signal('SIGCONT');
@@ -78,7 +78,7 @@
     await untilActive(2);
     for (const { proxy } of fleet.nodes) proxy.stall();
     const start = performance.now();
-    write(3, ONE);
+    write(3, HISTORY_ROUTE);
     await untilActive(3);
     expect(performance.now() - start).to.be.below(Math.max(MAX_CHANGE_MS, MAX_RECOVERY_MS));
   });
@@ -95,34 +95,34 @@
     await new Promise(resolve => setTimeout(resolve, MAX_FEED_WAIT_MS));
     isLoaded = false;
     await Promise.all(loads);
-    const isBack = ({ time, msg }: Record<string, unknown>) =>
+    const isReachableAgain = ({ time, msg }: Record<string, unknown>) =>
       Number(time) > start && msg === 'Configuration: The source is reachable again.';
-    for (const { logged } of fleet.nodes) expect(logged.some(isBack)).to.equal(true);
+    for (const { logged } of fleet.nodes) expect(logged.some(isReachableAgain)).to.equal(true);
   });
 
   describe('while the store rejects two daemons of a failure domain without connections to others', () => {
     beforeEach(async () => {
       await fleet[Symbol.asyncDispose]();
-      fleet = await ProcessFleet.start(ONE_DOMAIN, BOTH);
+      fleet = await ProcessFleet.start(ONE_DOMAIN, BOTH_ROUTES);
     });
 
     const pairs = () =>
       fleet.nodes.flatMap((one, i) => fleet.nodes.slice(i + 1).map((other): ProcessNode[] => [one, other]));
-    const reach = (pair: readonly ProcessNode[]) => pair.forEach(({ proxy }) => (proxy.mode = 'pass'));
+    const reconnect = (pair: readonly ProcessNode[]) => pair.forEach(({ proxy }) => (proxy.mode = 'pass'));
     /** Writes a version while the store rejects the pair, and waits until all daemons have it. */
-    const changeWithout = async (pair: readonly ProcessNode[], version: number, withinMs: number) => {
+    const changeWithout = async (pair: readonly ProcessNode[], version: number, maxMs: number) => {
       for (const { proxy } of pair) proxy.reset();
       const start = performance.now();
       write(version);
       await untilActive(version);
-      expect(performance.now() - start, `version ${String(version)}`).to.be.below(withinMs);
+      expect(performance.now() - start, `version ${String(version)}`).to.be.below(maxMs);
     };
 
     it('is active in time, for each pair', async function () {
       this.timeout(ALL_PAIRS_TIMEOUT_MS);
       for (const [i, pair] of pairs().entries()) {
         await changeWithout(pair, i + 2, MAX_CHANGE_MS);
-        reach(pair);
+        reconnect(pair);
         await fleet.until(
           node => node.status(),
           status => status?.members.every(({ isPlatformLost }) => !isPlatformLost) === true,
@@ -133,7 +133,7 @@
     it('is active within the extended time when another pair is rejected each time', async () => {
       for (const [i, pair] of pairs().entries()) {
         await changeWithout(pair, i + 2, MAX_CHANGE_MS + EXTRA_CHANGE_MS);
-        reach(pair);
+        reconnect(pair);
       }
     });
   });
--- a/tests/configurationContent.spec.ts
+++ b/tests/configurationContent.spec.ts
@@ -26,15 +26,15 @@
   | { readonly kind: 'write'; readonly routes: readonly (string | undefined)[] }
   | { readonly kind: 'read'; readonly at: number }
   | { readonly kind: 'restart'; readonly at: number }
-  | { readonly kind: 'take'; readonly at: number; readonly from: number };
+  | { readonly kind: 'fetch'; readonly at: number; readonly from: number };
 
 const daemon = fc.nat(DAEMONS - 1);
 const routes = fc.array(fc.constantFrom('history', 'alarms', undefined), { minLength: 3, maxLength: 3 });
-const step: fc.Arbitrary<Step> = fc.oneof(
+const anyStep: fc.Arbitrary<Step> = fc.oneof(
   fc.record({ kind: fc.constant('write' as const), routes }),
   fc.record({ kind: fc.constant('read' as const), at: daemon }),
   fc.record({ kind: fc.constant('restart' as const), at: daemon }),
-  { weight: 3, arbitrary: fc.record({ kind: fc.constant('take' as const), at: daemon, from: daemon }) },
+  { weight: 3, arbitrary: fc.record({ kind: fc.constant('fetch' as const), at: daemon, from: daemon }) },
 );
 
 /** A route that changes and is reverted, while daemon 0 misses the version in between. */
@@ -46,7 +46,7 @@
   { kind: 'read', at: 1 },
   { kind: 'write', routes: ['history', 'history', 'alarms'] },
   { kind: 'read', at: 0 },
-  { kind: 'take', at: 1, from: 0 },
+  { kind: 'fetch', at: 1, from: 0 },
 ];
 /** A route that is removed before daemon 0 restarts. */
 const REMOVED_ROUTE: Step[] = [
@@ -56,13 +56,13 @@
   { kind: 'write', routes: ['history', undefined, undefined] },
   { kind: 'restart', at: 0 },
   { kind: 'read', at: 0 },
-  { kind: 'take', at: 1, from: 0 },
+  { kind: 'fetch', at: 1, from: 0 },
 ];
 
 describe('the content of a configuration', () => {
   it('is that of its generation at every daemon, whichever versions it missed and wherever it fetched them', () => {
     fc.assert(
-      fc.property(fc.array(step, { maxLength: MAX_STEPS }), steps => expectTrueContent(steps)),
+      fc.property(fc.array(anyStep, { maxLength: MAX_STEPS }), steps => expectContentOfGeneration(steps)),
       { numRuns: HISTORIES, examples: [[REVERTED_ROUTE], [REMOVED_ROUTE]] },
     );
   });
@@ -140,30 +140,30 @@
   return daemon.adoptContent(generation, sectionsOf(services), 'platform');
 }
 
-function expectTrueContent(steps: readonly Step[]): void {
+function expectContentOfGeneration(steps: readonly Step[]): void {
   const written: Sections[] = [];
   const daemons = Array.from({ length: DAEMONS }, newDaemon);
-  for (const taken of steps) {
-    take(taken, daemons, written);
+  for (const step of steps) {
+    runStep(step, daemons, written);
     for (const { generation, active } of daemons) {
       if (generation > 0) expect(active).to.deep.equal(written[generation - 1]);
     }
   }
 }
 
-function take(taken: Step, daemons: Configuration<Sections>[], written: Sections[]): void {
-  switch (taken.kind) {
+function runStep(step: Step, daemons: Configuration<Sections>[], written: Sections[]): void {
+  switch (step.kind) {
     case 'write':
-      written.push(sectionsOf(taken.routes));
+      written.push(sectionsOf(step.routes));
       break;
     case 'read':
-      if (written.length > 0) daemons[taken.at]!.adoptContent(written.length, written.at(-1)!, 'platform');
+      if (written.length > 0) daemons[step.at]!.adoptContent(written.length, written.at(-1)!, 'platform');
       break;
     case 'restart':
-      daemons[taken.at] = newDaemon();
+      daemons[step.at] = newDaemon();
       break;
-    case 'take': {
-      const [requester, responder] = [daemons[taken.at]!, daemons[taken.from]!];
+    case 'fetch': {
+      const [requester, responder] = [daemons[step.at]!, daemons[step.from]!];
       requester.adoptResponse(responder.createResponse(requester.createRequest()), 'peer');
     }
   }
--- a/tests/configurationDistribution.spec.ts
+++ b/tests/configurationDistribution.spec.ts
@@ -15,7 +15,7 @@
   let clock: ManualClock;
   let configuration: Configuration<Sections>;
   let peers: Map<string, Peer>;
-  let asked: string[];
+  let requestedPeers: string[];
   let mismatches: string[];
   let distribution: ConfigurationDistribution;
 
@@ -36,7 +36,7 @@
   beforeEach(() => {
     clock = new ManualClock();
     configuration = configurationOf(1, OLD);
-    asked = [];
+    requestedPeers = [];
     mismatches = [];
     peers = new Map(OTHERS.map(name => [name, peerOf(configurationOf(1, OLD))]));
     distribution = new ConfigurationDistribution({
@@ -48,10 +48,10 @@
       isReader: () => false,
       onReachability: () => undefined,
       fetch: (peer, request) => {
-        asked.push(peer);
+        requestedPeers.push(peer);
         return peers.get(peer)!(request);
       },
-      // Peers in the same failure domain are asked first, although they have not announced it.
+      // Peers in the same failure domain are queried first, although they have not announced it.
       fetchOrder: holders => ['a', 'b', ...holders],
       fetchDelayMs: () => 0,
       onDigestMismatch: peer => mismatches.push(peer),
@@ -74,7 +74,7 @@
     announce(HOLDER);
     await advance(100);
     expect(configuration.active).to.deep.equal(NEW);
-    expect(asked).to.deep.equal(['a', 'b', HOLDER]);
+    expect(requestedPeers).to.deep.equal(['a', 'b', HOLDER]);
   });
 
   it('is fetched from the next peer if one does not respond within a quarter of a second', async () => {
@@ -90,9 +90,9 @@
     peers.set(HOLDER, () => Promise.reject(new Error('unreachable')));
     announce(HOLDER);
     await advance(1000);
-    const before = asked.length;
+    const before = requestedPeers.length;
     await advance(5000);
-    expect(asked, 'a peer that announces nothing is not asked').to.have.length(before);
+    expect(requestedPeers, 'a peer that announces nothing gets no request').to.have.length(before);
     peers.set(HOLDER, peerOf(newest()));
     announce(HOLDER);
     await advance(400);
--- a/tests/configurationSoak.spec.ts
+++ b/tests/configurationSoak.spec.ts
@@ -45,13 +45,13 @@
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
-  const below = (count: number) => Math.floor(random() * count);
-  const one = <T>(list: readonly T[]): T => list[below(list.length)]!;
+  const randomBelow = (count: number) => Math.floor(random() * count);
+  const pickOne = <T>(list: readonly T[]): T => list[randomBelow(list.length)]!;
   const delay = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
   const write = () => {
     const routes = HOSTS.flatMap((host): RouteDefinition[] =>
-      random() < 0.3 ? [] : [routeTo(one(['history', 'alarms']), { name: host, host })],
+      random() < 0.3 ? [] : [routeTo(pickOne(['history', 'alarms']), { name: host, host })],
     );
     const text = configurationText(++version, [routeTo('history'), routeTo('alarms'), ...routes]);
     written.set(version, digestOf(decodeConfiguration(text).sections));
@@ -66,17 +66,17 @@
   };
 
   const round = async (): Promise<string> => {
-    const injected = Array.from({ length: 1 + below(MAX_FAULTS) }, () => ({
-      name: one(Object.keys(FAULTS)),
-      node: below(VMS.length),
+    const injected = Array.from({ length: 1 + randomBelow(MAX_FAULTS) }, () => ({
+      name: pickOne(Object.keys(FAULTS)),
+      node: randomBelow(VMS.length),
     })).filter(({ node }, i, all) => all.findIndex(other => other.node === node) === i);
-    const ends = injected.map(({ name, node }) => FAULTS[name]!(fleet.nodes[node]!));
-    for (let left = 1 + below(MAX_WRITES); left > 0; left--) {
-      await delay(below(MAX_GAP_MS));
+    const faultEnders = injected.map(({ name, node }) => FAULTS[name]!(fleet.nodes[node]!));
+    for (let left = 1 + randomBelow(MAX_WRITES); left > 0; left--) {
+      await delay(randomBelow(MAX_GAP_MS));
       write();
     }
-    await delay(below(MAX_GAP_MS));
-    await Promise.all(ends.map(end => end()));
+    await delay(randomBelow(MAX_GAP_MS));
+    await Promise.all(faultEnders.map(endFault => endFault()));
     return injected.map(({ name, node }) => `${String(node)} ${name}`).join(', ');
   };
 
--- a/tests/configurationWatcher.spec.ts
+++ b/tests/configurationWatcher.spec.ts
@@ -11,18 +11,18 @@
 
 describe('watching the source of configurations', () => {
   let clock: ManualClock;
-  let isOnDuty: boolean;
+  let mustReadPlatform: boolean;
   let calls: number;
   let respond: () => Promise<SourcedVersion | undefined>;
-  let watch: ConfigurationWatcher;
+  let watcher: ConfigurationWatcher;
   let configuration: Configuration<unknown>;
-  let reached: boolean[];
+  let reachability: boolean[];
 
   beforeEach(() => {
     clock = new ManualClock();
-    isOnDuty = false;
+    mustReadPlatform = false;
     calls = 0;
-    reached = [];
+    reachability = [];
     respond = () => Promise.resolve(VERSION);
     const call = async () => {
       calls++;
@@ -35,19 +35,19 @@
       sections => sections,
       () => undefined,
     );
-    watch = new ConfigurationWatcher({
+    watcher = new ConfigurationWatcher({
       clock,
       configuration,
       freshness: new Freshness(clock, configuration),
       source: { read: call, next: call },
-      mustReadPlatform: () => isOnDuty,
+      mustReadPlatform: () => mustReadPlatform,
       waitMs: () => 1000,
       readIntervalMs: () => undefined,
       retryDelayMs: () => 500,
-      onReachability: isReached => reached.push(isReached),
+      onReachability: isReachable => reachability.push(isReachable),
       log: () => undefined,
     });
-    watch.start();
+    watcher.start();
   });
 
   const advance = async (ms: number) => {
@@ -80,7 +80,7 @@
     configuration.adoptContent(2, peerSections, 'peer');
     await advance(2000);
     const before = calls;
-    watch.onDigestMismatch();
+    watcher.onDigestMismatch();
     await advance(3000);
     expect(calls, 'an older version confirms nothing').to.be.above(before + 1);
     respond = () => Promise.resolve({ ...VERSION, generation: 2 });
@@ -93,24 +93,24 @@
 
   it('reports it as unreachable after a failed read, and as reachable after a later read succeeds', async () => {
     await advance(5000);
-    isOnDuty = true;
+    mustReadPlatform = true;
     await advance(2000);
     respond = () => Promise.reject(new Error('unreachable'));
-    reached = [];
+    reachability = [];
     await advance(1000);
-    expect(reached, 'a failed wait is not reported').to.deep.equal([]);
+    expect(reachability, 'a failed wait is not reported').to.deep.equal([]);
     await advance(1000);
-    expect(reached).to.deep.equal([false]);
+    expect(reachability).to.deep.equal([false]);
     // Other daemons are platform readers from now on.
-    isOnDuty = false;
+    mustReadPlatform = false;
     respond = () => Promise.resolve(undefined);
     await advance(8000);
-    expect(reached).to.deep.equal([false, true]);
+    expect(reachability).to.deep.equal([false, true]);
   });
 
   it('begins within half a second after the daemon becomes a platform reader', async () => {
     await advance(5000);
-    isOnDuty = true;
+    mustReadPlatform = true;
     await advance(600);
     expect(calls).to.equal(2);
   });
--- a/tests/daemonRow.spec.ts
+++ b/tests/daemonRow.spec.ts
@@ -7,7 +7,7 @@
  * 3. The first write took effect then, and replaced the newer row.
  *
  * Cause: writes were unconditional, and the daemon relied on its own count of changes to know what the row contains. With that code the row
- * lacked the second departure for as long as the daemon ran.
+ * did not contain the shutdown of the second upstream for as long as the daemon ran.
  */
 import { expect } from 'chai';
 import { PlatformFleet, routeTo } from './fixtures/platformFleet.js';
--- a/tests/fairShares.spec.ts
+++ b/tests/fairShares.spec.ts
@@ -24,7 +24,7 @@
  * within a class derives from the request id, so that every organisation has the same ratio of its requests served, however many it sends.
  */
 describe('an overloaded upstream, and organisations of the same priority', () => {
-  const shares = async (loads: readonly Load[], seed: string): Promise<number[]> => {
+  const servedRatios = async (loads: readonly Load[], seed: string): Promise<number[]> => {
     const clock = new ManualClock();
     const random = seededRandom(seed);
     const admission = new Admission({
@@ -67,12 +67,12 @@
       ...constantLoads(19, { usual: 6, peak: 8.4 }),
     ],
   };
-  for (const [what, loads] of Object.entries(scenarios)) {
-    it(`are served fairly beside one ${what}`, async () => {
-      const sorted = (await shares(loads, what)).sort((a, b) => a - b);
-      const mean = sorted.reduce((sum, share) => sum + share, 0) / sorted.length;
+  for (const [description, loads] of Object.entries(scenarios)) {
+    it(`are served fairly alongside one ${description}`, async () => {
+      const sorted = (await servedRatios(loads, description)).sort((a, b) => a - b);
+      const mean = sorted.reduce((sum, ratio) => sum + ratio, 0) / sorted.length;
       const worst = sorted.slice(0, Math.ceil(sorted.length / 10));
-      const worstTenth = worst.reduce((sum, share) => sum + share, 0) / worst.length;
+      const worstTenth = worst.reduce((sum, ratio) => sum + ratio, 0) / worst.length;
       expect(mean).to.be.below(0.95);
       expect(worstTenth).to.be.at.least(mean - MAX_WORST_TENTH_DEFICIT);
       expect(sorted[0]).to.be.at.least(mean / 2);
--- a/tests/fleetRetryBudget.spec.ts
+++ b/tests/fleetRetryBudget.spec.ts
@@ -14,9 +14,9 @@
       retryRequests: fc.nat(20),
       previousOutcome: fc.constantFrom('not-run' as const, 'may-have-run' as const),
       callsBefore: fc.nat(4),
-      /** One of this many requests is a retry that the service had before. */
+      /** Number of requests for each additional call that is made by a request that is itself a retry. */
       retryInterval: fc.integer({ min: 10, max: 50 }),
-      pauseMs: fc.nat(1500),
+      gapMs: fc.nat(1500),
     });
     fc.assert(
       fc.property(fc.array(step, { minLength: 20, maxLength: 120 }), steps => {
@@ -33,9 +33,9 @@
           previousOutcome,
           callsBefore,
           retryInterval,
-          pauseMs,
+          gapMs,
         } of steps) {
-          clock.advance(pauseMs);
+          clock.advance(gapMs);
           const budget = budgets[daemon]!;
           for (let i = 0; i < requests; i++) budget.countRequest('s', false);
           let retries = Math.floor(requests / retryInterval);
@@ -66,33 +66,33 @@
   it('is granted in the order of requests while there are enough retries for all', () => {
     const budget = new FleetRetryBudget(new ManualClock(), { ...BOUNDS, extra: 0 }, () => 1);
     for (let i = 0; i < 1000; i++) budget.countRequest('s', false);
-    const taken = (callsBefore: number) => {
+    const granted = (callsBefore: number) => {
       let count = 0;
       for (let i = 0; i < 200; i++)
         if (budget.take('s', { previousOutcome: 'not-run', callsBefore })) count++;
       return count;
     };
-    expect(taken(0)).to.equal(160);
-    expect(taken(3)).to.equal(0);
+    expect(granted(0)).to.equal(160);
+    expect(granted(3)).to.equal(0);
   });
 
-  it('favours calls that have earlier calls of their request to lose when retries are scarce', () => {
+  it('favours calls of requests that have made more calls before, when retries are scarce', () => {
     const clock = new ManualClock();
     const budget = new FleetRetryBudget(clock, { ...BOUNDS, extra: 0 }, () => 1);
     for (let second = 0; second < 10; second++) {
       clock.advance(1000);
       for (let i = 0; i < 100; i++) budget.countRequest('s', false);
     }
-    const taken = [0, 0, 0, 0];
+    const granted = [0, 0, 0, 0];
     for (let i = 0; i < 400; i++) {
-      const callsBefore = i % taken.length;
-      if (budget.take('s', { previousOutcome: 'not-run', callsBefore })) taken[callsBefore]!++;
+      const callsBefore = i % granted.length;
+      if (budget.take('s', { previousOutcome: 'not-run', callsBefore })) granted[callsBefore]!++;
     }
-    expect(taken[0]).to.be.at.most(15);
-    expect(taken[3]).to.be.at.least(50);
+    expect(granted[0]).to.be.at.most(15);
+    expect(granted[3]).to.be.at.least(50);
   });
 
-  it('is charged for calls that retried requests make again', () => {
+  it('is charged for calls that a retried request makes again', () => {
     const budget = new FleetRetryBudget(new ManualClock(), { ...BOUNDS, extra: 0 }, () => 1);
     for (let i = 0; i < 1000; i++) budget.countRequest('s', false);
     for (let i = 0; i < 160; i++) budget.countRequest('s', true);
--- a/tests/frameStream.spec.ts
+++ b/tests/frameStream.spec.ts
@@ -33,47 +33,54 @@
   it('delivers complete frames in order, however the bytes are split', () => {
     const sizes = fc.array(fc.integer({ min: 0, max: 40_000 }), { minLength: 1, maxLength: 6 });
     fc.assert(
-      fc.property(sizes, fc.array(fc.integer({ min: 1, max: 30_000 }), { minLength: 1 }), (bodies, cuts) => {
-        const sender = fakeSocket();
-        const writer = new FrameStream(sender as never, { onFrame: () => undefined, onEnd: () => undefined });
-        bodies.forEach((bytes, index) => writer.write(frameWith(index + 1, bytes)));
-        const sent = Buffer.concat(sender.written);
-        const received: LinkFrame[] = [];
-        const reader = new FrameStream(fakeSocket() as never, {
-          onFrame: frame => received.push(frame),
-          onEnd: () => undefined,
-        });
-        for (let at = 0, next = 0; at < sent.length; next++) {
-          const length = cuts[next % cuts.length]!;
-          reader.receive(sent.subarray(at, at + length));
-          at += length;
-        }
-        expect(pongsOf(received)).to.deep.equal(bodies.map((_, index) => index + 1));
-        expect(received.map(({ items }) => items[0]?.request?.body.length)).to.deep.equal(bodies);
-      }),
+      fc.property(
+        sizes,
+        fc.array(fc.integer({ min: 1, max: 30_000 }), { minLength: 1 }),
+        (bodySizes, chunkSizes) => {
+          const sender = fakeSocket();
+          const writer = new FrameStream(sender as never, {
+            onFrame: () => undefined,
+            onEnd: () => undefined,
+          });
+          bodySizes.forEach((bytes, index) => writer.write(frameWith(index + 1, bytes)));
+          const sent = Buffer.concat(sender.written);
+          const received: LinkFrame[] = [];
+          const reader = new FrameStream(fakeSocket() as never, {
+            onFrame: frame => received.push(frame),
+            onEnd: () => undefined,
+          });
+          for (let offset = 0, next = 0; offset < sent.length; next++) {
+            const length = chunkSizes[next % chunkSizes.length]!;
+            reader.receive(sent.subarray(offset, offset + length));
+            offset += length;
+          }
+          expect(pongsOf(received)).to.deep.equal(bodySizes.map((_, index) => index + 1));
+          expect(received.map(({ items }) => items[0]?.request?.body.length)).to.deep.equal(bodySizes);
+        },
+      ),
     );
   });
 
-  const endedBy = (bytes: Buffer) => {
-    const ends: string[] = [];
+  const receiveBytes = (bytes: Buffer) => {
+    const endReasons: string[] = [];
     const socket = fakeSocket();
     const reader = new FrameStream(socket as never, {
       onFrame: () => undefined,
-      onEnd: reason => ends.push(reason),
+      onEnd: reason => endReasons.push(reason),
     });
     reader.receive(bytes);
-    return { ends, isClosed: socket.destroyed };
+    return { endReasons, isClosed: socket.destroyed };
   };
 
   it('ends the link on a frame that is too long', () => {
-    const { ends, isClosed } = endedBy(Buffer.from([0x7f, 0, 0, 0, 1]));
-    expect(ends).to.have.lengthOf(1);
+    const { endReasons, isClosed } = receiveBytes(Buffer.from([0x7f, 0, 0, 0, 1]));
+    expect(endReasons).to.have.lengthOf(1);
     expect(isClosed).to.equal(true);
   });
 
   it('ends the link on a message that cannot be decoded', () => {
-    const { ends, isClosed } = endedBy(Buffer.from([0, 0, 0, 2, 0x0a, 0xff]));
-    expect(ends).to.have.lengthOf(1);
+    const { endReasons, isClosed } = receiveBytes(Buffer.from([0, 0, 0, 2, 0x0a, 0xff]));
+    expect(endReasons).to.have.lengthOf(1);
     expect(isClosed).to.equal(true);
   });
 });
--- a/tests/freshness.spec.ts
+++ b/tests/freshness.spec.ts
@@ -9,19 +9,19 @@
 describe('freshness of the configuration', () => {
   let time: ManualClock;
   let suspendedMs: number;
-  let setForwardMs: number;
+  let wallClockOffsetMs: number;
   let configuration: { generation: number; shortDigest: number };
   let freshness: Freshness;
 
   beforeEach(() => {
     time = new ManualClock();
     suspendedMs = 0;
-    setForwardMs = 0;
+    wallClockOffsetMs = 0;
     configuration = { generation: 5, shortDigest: 55 };
     const clock: Clock = {
       now: () => time.now() - suspendedMs,
       awake: () => time.now() - suspendedMs,
-      date: () => new Date(time.now() + setForwardMs),
+      date: () => new Date(time.now() + wallClockOffsetMs),
       after: time.after.bind(time),
       sleep: time.sleep.bind(time),
     };
@@ -39,9 +39,9 @@
   });
 
   it('counts from the beginning of a read, and from the request to a peer', () => {
-    const begun = freshness.moment();
+    const readStartedAt = freshness.moment();
     time.advance(400);
-    freshness.confirm(begun);
+    freshness.confirm(readStartedAt);
     expect(freshness.ageMs).to.equal(400);
     const requestedAt = freshness.moment();
     time.advance(50);
@@ -81,12 +81,12 @@
     expect(freshness.ageMs).to.equal(5100);
   });
 
-  it('counts as older, never as younger, while the time of day is wrong', () => {
+  it('counts as older, never as younger, while the wall clock is wrong', () => {
     receive({});
-    setForwardMs = -8000;
+    wallClockOffsetMs = -8000;
     time.advance(1000);
     expect(freshness.ageMs).to.equal(1100);
-    setForwardMs = 8000;
+    wallClockOffsetMs = 8000;
     expect(freshness.ageMs).to.equal(9100);
     receive({});
     expect(freshness.ageMs).to.equal(100);
--- a/tests/ingressShutdown.spec.ts
+++ b/tests/ingressShutdown.spec.ts
@@ -6,8 +6,9 @@
  * an upstream and closed the connection before the response. The end of the drain affected the listeners only: requests on
  * open connections were accepted until the end of the whole grace period.
  *
- * There, the connections were closed 2.78 s after the termination signal, with a grace period of 5.1 s; other daemons
- * stopped after 2.50 to 2.51 s. The least is 2.4 s: 2.3 s until the failed readiness is seen, and 0.1 s for the last bytes.
+ * In the case observed, the connections were closed 2.78 s after the termination signal, with a grace period of 5.1 s; other
+ * daemons stopped after 2.50 to 2.51 s. The minimum is 2.4 s: 2.3 s until the failed readiness is seen, and 0.1 s for the
+ * last bytes.
  * In this test, one request ran without a response in 3 of 3 runs before the fix.
  */
 import { expect } from 'chai';
@@ -71,17 +72,17 @@
 
   it('responds to each request that it has forwarded', async () => {
     const sockets = await openConnections();
-    const ended = shutDownIngress();
+    const shutdown = shutDownIngress();
     const statuses: Promise<number>[] = [];
     for (const [index, socket] of sockets.entries()) {
       statuses.push(sendRequest(socket, `kept-${String(index)}`));
       await sleep(REQUEST_INTERVAL_MS);
     }
-    await ended;
-    const unanswered = (await Promise.all(statuses))
+    await shutdown;
+    const withoutResponse = (await Promise.all(statuses))
       .map((status, index) => ({ status, runs: fleet.runs(`kept-${String(index)}`) }))
       .filter(({ status, runs }) => status === 0 && runs > 0);
-    expect(unanswered).to.deep.equal([]);
+    expect(withoutResponse).to.deep.equal([]);
     expect(await Promise.all(statuses)).to.include(200);
   });
 });
--- a/tests/invalidInput.spec.ts
+++ b/tests/invalidInput.spec.ts
@@ -26,7 +26,7 @@
   .map(body => JSON.stringify(body));
 const bytes = fc.uint8Array({ maxLength: 300 }).map(array => Buffer.from(array));
 
-describe('invalid input of other writers', () => {
+describe('invalid input from other processes', () => {
   let fleet: PlatformFleet;
 
   beforeEach(async () => {
@@ -74,7 +74,7 @@
     });
   });
 
-  describe('in a row', () => {
+  describe('in a row of the store', () => {
     const invalidRow = fc.oneof(
       fc.json(),
       fc.string(),
--- a/tests/leaving.spec.ts
+++ b/tests/leaving.spec.ts
@@ -10,13 +10,13 @@
   let fleet: Fleet;
   let drainedNode: FleetNode;
   let ingress: FleetNode;
-  let stop = false;
+  let isStopped = false;
   let outcomes: string[] = [];
   let sending: Promise<void>;
 
-  /** Sends batches of three concurrent confirmations until `stop` is set. */
+  /** Sends batches of three concurrent confirmations until `isStopped` is set. */
   const sendContinuously = async () => {
-    for (let i = 0; !stop; i++) {
+    for (let i = 0; !isStopped; i++) {
       const results = await Promise.all(
         [0, 1, 2].map(n => confirm(ingress, `r${String(i)}-${String(n)}`, {})),
       );
@@ -34,7 +34,7 @@
     ]);
     drainedNode = fleet.nodes[0]!;
     ingress = fleet.nodes[4]!;
-    stop = false;
+    isStopped = false;
     outcomes = [];
     sending = sendContinuously();
     await sleep(300);
@@ -46,7 +46,7 @@
   /** Stops sending and checks the outcomes. First waits, also on a slow machine, until there are enough of them. */
   const stopAndCheck = async () => {
     while (outcomes.length <= 20) await sleep(20);
-    stop = true;
+    isStopped = true;
     await sending;
     expect(outcomes.filter(outcome => outcome !== 'answered')).to.deep.equal([]);
   };
@@ -78,18 +78,18 @@
     expect(await drainedNode.daemon.exited).to.equal(0);
     await sleep(300);
     await stopAndCheck();
-    const done = runsOf(fleet, fleet.nodes, 'r0-0');
-    expect(done).to.deep.equal({ started: 1, done: 1 });
+    const executions = runsOf(fleet, fleet.nodes, 'r0-0');
+    expect(executions).to.deep.equal({ started: 1, done: 1 });
   });
 
-  it('lets an ingress daemon that receives SIGTERM answer all its callers', async () => {
+  it('lets an ingress daemon that receives SIGTERM respond to all its callers', async () => {
     const slow = fleet.nodes.filter(node => node.service === 'receiving');
     await Promise.all(
       slow.map(node => fleet.setBehaviour(node, { serviceMs: 800, serviceTimes: 'constant' })),
     );
     const results = [1, 2, 3, 4].map(i => confirm(ingress, `last-${String(i)}`, {}));
     await sleep(100);
-    stop = true;
+    isStopped = true;
     ingress.daemon.signal('SIGTERM');
     expect((await Promise.all(results)).map(result => result.outcome)).to.deep.equal(
       Array(4).fill('answered'),
--- a/tests/leavingAnswers.spec.ts
+++ b/tests/leavingAnswers.spec.ts
@@ -36,7 +36,7 @@
   const startLoad = () =>
     new SteadyLoad(fleet, { perSecond: REQUESTS_PER_SECOND, hosts: ['history.example'] });
   /** Lets the upstreams report that they are shutting down. Returns the time. */
-  const leave = () => {
+  const announceShutdown = () => {
     for (const index of LEAVING_INDEXES) node(index).upstream.behaviour.saysLeaving = true;
     return performance.now();
   };
@@ -61,7 +61,7 @@
   it('gets no more requests though its heartbeats report ready, and no request is refused', async () => {
     await using load = startLoad();
     await sleep(SETTLE_MS);
-    const from = leave();
+    const from = announceShutdown();
     await sleep(DRAIN_TIMEOUT_MS);
     const drainedAt = performance.now();
     await sleep(DRAIN_TIMEOUT_MS);
@@ -81,7 +81,7 @@
     await using load = startLoad();
     await sleep(SETTLE_MS);
     for (const index of LEAVING_INDEXES) node(index).proxy.reset();
-    const from = leave();
+    const from = announceShutdown();
     await sleep(DRAIN_TIMEOUT_MS);
     await Promise.all(LEAVING_INDEXES.map(index => node(index).restart()));
     await sleep(2 * DRAIN_TIMEOUT_MS);
@@ -94,7 +94,7 @@
   it('gets no more requests after its daemon was suspended', async () => {
     await using load = startLoad();
     await sleep(SETTLE_MS);
-    const from = leave();
+    const from = announceShutdown();
     await sleep(SETTLE_MS / 5);
     for (const index of LEAVING_INDEXES) node(index).signal('SIGSTOP');
     await sleep(SUSPENDED_MS);
@@ -103,10 +103,10 @@
     for (const index of LEAVING_INDEXES) expect(lateRequests(load, index, from)).to.deep.equal([]);
   });
 
-  it('gets requests again after it is started anew at the same address', async () => {
+  it('gets requests again after it is restarted at the same address', async () => {
     await using load = startLoad();
     await sleep(SETTLE_MS);
-    leave();
+    announceShutdown();
     await sleep(DRAIN_TIMEOUT_MS);
     for (const index of LEAVING_INDEXES) {
       const { upstream } = node(index);
--- a/tests/linkServer.spec.ts
+++ b/tests/linkServer.spec.ts
@@ -55,7 +55,7 @@
 
 describe('the server side of a link', () => {
   const clock = new SystemClock();
-  const handledAfter = async (isLagging: boolean): Promise<number> => {
+  const countHandledCalls = async (isLagging: boolean): Promise<number> => {
     let handled = 0;
     const socket = fakeSocket();
     const handle = () => {
@@ -78,46 +78,46 @@
   };
 
   it('does not start a call that the next event loop iteration cancels, if the event loop lags', async () => {
-    expect(await handledAfter(true)).to.equal(0);
+    expect(await countHandledCalls(true)).to.equal(0);
   });
 
   it('subtracts the time that a call was queued from its remaining time', async () => {
-    const manual = new ManualClock();
+    const manualClock = new ManualClock();
     const socket = fakeSocket();
-    const remaining: (number | undefined)[] = [];
+    const remainingTimes: (number | undefined)[] = [];
     const handle: CallHandler = ({ context }) => {
-      remaining.push(context?.remainingMs);
+      remainingTimes.push(context?.remainingMs);
       return Promise.resolve(singlePartResponse(refusalPart(createRefusal('overloaded', ''), 0)));
     };
     const server = new LinkServer(socket as never, {
-      clock: manual,
+      clock: manualClock,
       handle,
-      scheduler: new RequestScheduler(manual, () => true),
+      scheduler: new RequestScheduler(manualClock, () => true),
       configuration: NO_CONFIGURATION,
     });
     server.receive(encodeFrame(REQUEST));
-    manual.advance(70);
+    manualClock.advance(70);
     for (let i = 0; i < 4; i++) await new Promise(resolve => setImmediate(resolve));
-    expect(remaining).to.deep.equal([CALL_CONTEXT.remainingMs - 70]);
+    expect(remainingTimes).to.deep.equal([CALL_CONTEXT.remainingMs - 70]);
   });
 
   describe('for calls that were delayed in transit', () => {
     const BASE_DELAY_MS = 3;
-    let manual: ManualClock;
+    let manualClock: ManualClock;
     let server: LinkServer;
-    let started: (number | undefined)[];
+    let startedRemainingMs: (number | undefined)[];
 
     beforeEach(() => {
-      manual = new ManualClock();
-      manual.advance(1000);
-      started = [];
+      manualClock = new ManualClock();
+      manualClock.advance(1000);
+      startedRemainingMs = [];
       server = new LinkServer(fakeSocket() as never, {
-        clock: manual,
+        clock: manualClock,
         handle: ({ context }) => {
-          started.push(context?.remainingMs);
+          startedRemainingMs.push(context?.remainingMs);
           return Promise.resolve(singlePartResponse(refusalPart(createRefusal('overloaded', ''), 0)));
         },
-        scheduler: new RequestScheduler(manual, () => false),
+        scheduler: new RequestScheduler(manualClock, () => false),
         configuration: NO_CONFIGURATION,
       });
       // The client's clock is 500 s ahead, and its first frame was in transit for 3 ms.
@@ -125,25 +125,30 @@
     });
 
     const receive = async (call: number, delayMs: number) => {
-      manual.advance(2000);
-      server.receive(encodeFrame({ ...REQUEST, call }, 500_000 + manual.now() - BASE_DELAY_MS - delayMs));
+      manualClock.advance(2000);
+      server.receive(
+        encodeFrame({ ...REQUEST, call }, 500_000 + manualClock.now() - BASE_DELAY_MS - delayMs),
+      );
       for (let i = 0; i < 4; i++) await new Promise(resolve => setImmediate(resolve));
     };
 
     it('does not start one whose deadline has passed', async () => {
       await receive(1, 1500);
-      expect(started).to.deep.equal([]);
+      expect(startedRemainingMs).to.deep.equal([]);
     });
 
     it('subtracts the delay from the remaining time of the others, and nothing for calls without a delay', async () => {
       await receive(1, 400);
       await receive(2, 0);
-      expect(started[0]).to.be.within(CALL_CONTEXT.remainingMs - 400, CALL_CONTEXT.remainingMs - 395);
-      expect(started[1]).to.be.within(CALL_CONTEXT.remainingMs - 5, CALL_CONTEXT.remainingMs);
+      expect(startedRemainingMs[0]).to.be.within(
+        CALL_CONTEXT.remainingMs - 400,
+        CALL_CONTEXT.remainingMs - 395,
+      );
+      expect(startedRemainingMs[1]).to.be.within(CALL_CONTEXT.remainingMs - 5, CALL_CONTEXT.remainingMs);
     });
   });
 
   it('starts a call at once if the event loop does not lag', async () => {
-    expect(await handledAfter(false)).to.equal(1);
+    expect(await countHandledCalls(false)).to.equal(1);
   });
 });
--- a/tests/membership.spec.ts
+++ b/tests/membership.spec.ts
@@ -4,25 +4,25 @@
 import { SimulatedNetwork, simulatedAddresses as addresses } from '@cleatquay/bench';
 
 const COUNT = 30;
-const [FIRST, SECOND] = addresses(2) as [string, string];
+const [FIRST_SEED, SECOND_SEED] = addresses(2) as [string, string];
 
-async function joined(seed: string, count = COUNT): Promise<SimulatedNetwork> {
+async function joinedNetwork(seed: string, count = COUNT): Promise<SimulatedNetwork> {
   const network = new SimulatedNetwork(seed);
   for (const address of addresses(count))
-    network.start(address, [FIRST, SECOND], address < '10.0.0.2' ? 'a' : 'b');
+    network.start(address, [FIRST_SEED, SECOND_SEED], address < '10.0.0.2' ? 'a' : 'b');
   await network.advance(5000);
   return network;
 }
 
 describe('membership', () => {
   it('gives each member the full list through two seeds', async () => {
-    await using network = await joined('join');
+    await using network = await joinedNetwork('join');
     for (const address of network.addresses)
       expect(network.countViews(address, ['ALIVE'])).to.equal(COUNT - 1);
   });
 
   it('declares only a killed member dead while one datagram in ten is lost', async () => {
-    await using network = await joined('kill');
+    await using network = await joinedNetwork('kill');
     network.deliveryPolicy = () => (network.random() < 0.1 ? 'lose' : 'deliver');
     const victim = network.addresses[7]!;
     await network.kill(victim);
@@ -31,8 +31,8 @@
     for (const address of network.addresses) expect(network.countViews(address, ['DEAD'])).to.equal(0);
   });
 
-  it('marks a member that leaves at once', async () => {
-    await using network = await joined('leave');
+  it('marks a member as having left as soon as it leaves', async () => {
+    await using network = await joinedNetwork('leave');
     const leaving = network.addresses[9]!;
     network.get(leaving).leave();
     await network.advance(1000);
@@ -40,7 +40,7 @@
   });
 
   it('broadcasts a drain to all members within two seconds', async () => {
-    await using network = await joined('drain');
+    await using network = await joinedNetwork('drain');
     const draining = network.addresses[3]!;
     const upstream = { service: 's', address: draining, slots: 1, connections: 1, draining: true };
     network.get(draining).setUpstreams([upstream]);
@@ -49,9 +49,9 @@
     expect(views).to.deep.equal(Array(COUNT).fill(true));
   });
 
-  it('misses no member with that in twenty fleets', async () => {
+  it('broadcasts a drain to every member of each of twenty fleets', async () => {
     for (let i = 0; i < 20; i++) {
-      await using network = await joined(`drain-${String(i)}`);
+      await using network = await joinedNetwork(`drain-${String(i)}`);
       const draining = network.addresses[3]!;
       const upstream = { service: 's', address: draining, slots: 1, connections: 1, draining: true };
       network.get(draining).setUpstreams([upstream]);
@@ -64,11 +64,11 @@
   });
 
   it('recognises a replaced VM at the same address as a new process', async () => {
-    await using network = await joined('replace');
+    await using network = await joinedNetwork('replace');
     const address = network.addresses[5]!;
     const old = network.get(address).me.epoch;
     await network.kill(address);
-    network.start(address, [FIRST, SECOND]);
+    network.start(address, [FIRST_SEED, SECOND_SEED]);
     await network.advance(5000);
     expect(network.countViews(address, ['ALIVE'])).to.equal(COUNT - 1);
     const epochs = network.addresses.map(a => network.get(a).table.get(address)?.epoch ?? 0);
@@ -77,13 +77,13 @@
 
   it('recovers after minutes of a network partition, even if one side was replaced meanwhile', async function () {
     this.timeout(120_000);
-    await using network = await joined('heal', 12);
-    const isLeft = (address: string) => address < addresses(12)[6]!;
-    network.deliveryPolicy = (from, to) => (isLeft(from) === isLeft(to) ? 'deliver' : 'lose');
+    await using network = await joinedNetwork('heal', 12);
+    const isInFirstHalf = (address: string) => address < addresses(12)[6]!;
+    network.deliveryPolicy = (from, to) => (isInFirstHalf(from) === isInFirstHalf(to) ? 'deliver' : 'lose');
     await network.advance(120_000);
-    for (const address of network.addresses.filter(isLeft)) {
+    for (const address of network.addresses.filter(isInFirstHalf)) {
       await network.kill(address);
-      network.start(address, [FIRST, SECOND]);
+      network.start(address, [FIRST_SEED, SECOND_SEED]);
     }
     await network.advance(60_000);
     network.deliveryPolicy = () => 'deliver';
@@ -93,10 +93,12 @@
   });
 
   it('broadcasts a generation to all members within two seconds', async () => {
-    await using network = await joined('spread');
-    network.get(FIRST).setConfiguration({ generation: 7, shortDigest: 1 });
+    await using network = await joinedNetwork('spread');
+    network.get(FIRST_SEED).setConfiguration({ generation: 7, shortDigest: 1 });
     await network.advance(2000);
-    const informed = network.addresses.filter(a => a !== FIRST).map(a => network.receivedGenerations.get(a));
+    const informed = network.addresses
+      .filter(a => a !== FIRST_SEED)
+      .map(a => network.receivedGenerations.get(a));
     expect(informed).to.deep.equal(Array(COUNT - 1).fill(7));
   });
 
@@ -122,16 +124,16 @@
     await using network = new SimulatedNetwork('fuzz');
     let deliver: (bytes: Uint8Array) => void = () => undefined;
     const self = {
-      address: FIRST,
-      gossipAddress: FIRST,
-      operatorAddress: FIRST,
+      address: FIRST_SEED,
+      gossipAddress: FIRST_SEED,
+      operatorAddress: FIRST_SEED,
       failureDomain: 'a',
       epoch: 5,
     };
     await using membership = new Membership({
       clock: network.clock,
       random: network.random,
-      datagrams: { address: FIRST, send: () => undefined, receive: handler => (deliver = handler) },
+      datagrams: { address: FIRST_SEED, send: () => undefined, receive: handler => (deliver = handler) },
       seeds: [],
       self,
       onConfiguration: () => undefined,
