--- a/tests/configurationChanges.spec.ts
+++ b/tests/configurationChanges.spec.ts
@@ -25,7 +25,7 @@
 const ALL_PAIRS_TIMEOUT_MS = 120_000;
 /** Load for long enough that garbage is collected several times. */
 const WARMUP_MS = 3000;
-/** The long poll of each of the four readers takes 4 s; then a second for the timeout, and the rest for a busy machine and the log. */
+/** The long poll of each of the four readers takes up to 4 s; then a second for the timeout, and the rest for a busy machine and the log. */
 const MAX_FEED_WAIT_MS = 8000;
 
 const VMS: ProcessVm[] = [
