--- a/tests/platformLifetimes.spec.ts
+++ b/tests/platformLifetimes.spec.ts
@@ -61,7 +61,7 @@
     await node!.upstream.leave();
     fleet.store.put('daemons', address, before);
     await fleet.restart(node!);
-    await until(() => fleet.logged.some(({ msg }) => msg.includes('is not there any more')));
+    await until(() => fleet.logged.some(({ msg }) => msg.includes('A recorded upstream is gone.')));
     expect(node!.daemon.upstreams.identifiedUpstreams).to.deep.equal([]);
   });
 
@@ -84,17 +84,17 @@
     expect(await upstream.announce({ slots: 'many' })).to.equal(400);
     expect(await upstream.announce({ address: 'nowhere' })).to.equal(400);
     const url = `http://${fleet.nodes[0]!.daemon.addresses.get('announcements')!}/cleatquay/instances/i-0/heartbeat`;
-    const cut = await fetch(url, { method: 'POST', body: '{"service":' });
-    expect(cut.status).to.equal(400);
-    expect(await cut.text()).to.contain('CQ1006');
-    const long = await fetch(url, { method: 'POST', body: 'x'.repeat(50_000) });
-    expect(long.status).to.equal(413);
+    const truncated = await fetch(url, { method: 'POST', body: '{"service":' });
+    expect(truncated.status).to.equal(400);
+    expect(await truncated.text()).to.contain('CQ1006');
+    const tooLong = await fetch(url, { method: 'POST', body: 'x'.repeat(50_000) });
+    expect(tooLong.status).to.equal(413);
   });
 
   it('and daemons are discovered despite an invalid row', async () => {
     fleet.store.put('daemons', 'junk', 'no JSON');
-    const late = await fleet.add({ service: 'history' }, 'i-2');
-    await until(() => late.daemon.isReady);
+    const added = await fleet.add({ service: 'history' }, 'i-2');
+    await until(() => added.daemon.isReady);
     await fleet.settle();
     expect(fleet.logged.map(({ msg }) => msg)).to.include('Meeting: Skipped an invalid row.');
   });
@@ -102,8 +102,8 @@
   it('and daemons are discovered again after their rows have expired', async () => {
     const { address } = fleet.nodes[0]!.daemon.membership.me;
     fleet.store.remove('daemons', address);
-    const late = await fleet.add({ service: 'history' }, 'i-2');
-    await until(() => late.daemon.isReady);
+    const added = await fleet.add({ service: 'history' }, 'i-2');
+    await until(() => added.daemon.isReady);
     await fleet.settle();
     expect((await distinctStamps(40)).size).to.equal(3);
   });
