--- a/tests/peerDiscovery.spec.ts
+++ b/tests/peerDiscovery.spec.ts
@@ -28,7 +28,7 @@
   beforeEach(() => {
     rows = [RECORDED];
     persisted = { departures: [], upstreams: [] };
-    const isReadable = new Promise<void>(resolve => (allowRead = resolve));
+    const readAllowed = new Promise<void>(resolve => (allowRead = resolve));
     discovery = new PeerDiscovery({
       clock: new ManualClock(),
       random: () => 0.5,
@@ -36,9 +36,9 @@
       maintainsTable: () => false,
       table: {
         create: async row => {
-          await isReadable;
-          const former = rows.find(({ address }) => address === row.address);
-          if (former) return { isDone: false, version: 1, recorded: former };
+          await readAllowed;
+          const found = rows.find(({ address }) => address === row.address);
+          if (found) return { isDone: false, version: 1, recorded: found };
           rows = [row];
           return { isDone: true, version: 1, recorded: undefined };
         },
@@ -66,7 +66,7 @@
     expect(rows[0]?.departures).to.deep.equal([DEPARTURE]);
   });
 
-  it('is no longer maintained after a stop in the middle of a round', async () => {
+  it('does not prevent a stop in the middle of a round', async () => {
     discovery.start();
     const stopped = discovery[Symbol.asyncDispose]();
     allowRead();
--- a/tests/quarantine.spec.ts
+++ b/tests/quarantine.spec.ts
@@ -15,7 +15,8 @@
 const DEADLY = 'dead000000000000';
 const HARMLESS = '1111111111111111';
 const OTHERS = ['2222222222222222', '3333333333333333'];
-const LONG_MS = 5000;
+/** Longer than the delays after which daemons write to the table. */
+const TABLE_SYNC_MS = 5000;
 /** More process starts than a verdict names. */
 const LATER_CRASHES = 8;
 /** More process starts than a finding names. */
@@ -65,7 +66,7 @@
     it('at the first crash in a partition that learns of three crashes from the table only', async () => {
       fleet.partitioned.add(3);
       await crashThree([DEADLY]);
-      await fleet.pass(LONG_MS);
+      await fleet.pass(TABLE_SYNC_MS);
       expect(fleet.statuses(DEADLY)[3]).to.equal('free');
       await fleet.crash(3, 'u3@1', [DEADLY]);
       expect(fleet.statuses(DEADLY)).to.deep.equal(all('held'));
@@ -75,7 +76,7 @@
       fleet.partitioned.add(3);
       await fleet.crash(0, 'u0@1', [DEADLY]);
       await fleet.crash(1, 'u1@1', [DEADLY]);
-      await fleet.pass(LONG_MS);
+      await fleet.pass(TABLE_SYNC_MS);
       await fleet.crash(3, 'u3@1', [DEADLY]);
       expect(fleet.statuses(DEADLY)[3]).to.equal('held');
     });
@@ -134,7 +135,7 @@
       for (let i = 0; i < LATER_CRASHES; i++)
         await fleet.crash(i % DAEMONS, `later${String(i)}@1`, [DEADLY, HARMLESS]);
       expect(fleet.statuses(HARMLESS)).to.deep.equal(all('free'));
-      await fleet.pass(LONG_MS);
+      await fleet.pass(TABLE_SYNC_MS);
       await fleet.restartAll();
       expect(fleet.statuses(DEADLY)).to.deep.equal(all('held'));
       expect(fleet.statuses(HARMLESS)).to.deep.equal(all('free'));
@@ -144,7 +145,7 @@
       for (let i = 0; i < LATER_CRASHES; i++)
         await fleet.crash(i % DAEMONS, `many${String(i)}@1`, [DEADLY, HARMLESS]);
       recordResponse(3, HARMLESS);
-      await fleet.pass(LONG_MS);
+      await fleet.pass(TABLE_SYNC_MS);
       await fleet.restartAll();
       expect(fleet.statuses(DEADLY)).to.deep.equal(all('held'));
       expect(fleet.statuses(HARMLESS)).to.deep.equal(all('free'));
@@ -183,7 +184,7 @@
   it('converges in whatever order, and however often, reports are received', () => {
     fc.assert(
       fc.property(fc.array(report, { maxLength: 12 }), fc.array(fc.nat(11)), (reports, repeats) => {
-        const outcome = (list: typeof reports) => {
+        const crashesAfter = (list: typeof reports) => {
           const history = new CrashHistory(new ManualClock());
           for (const { isClearance, start: at, fingerprint } of list)
             if (isClearance) history.clear(fingerprint, [at]);
@@ -191,7 +192,7 @@
           return [DEADLY, HARMLESS, ...OTHERS].map(fingerprint => history.crashedUnder(fingerprint).sort());
         };
         const repeated = repeats.flatMap(i => reports[i] ?? []);
-        expect(outcome([...reports, ...repeated].reverse())).to.deep.equal(outcome(reports));
+        expect(crashesAfter([...reports, ...repeated].reverse())).to.deep.equal(crashesAfter(reports));
       }),
       { numRuns: RUNS },
     );
@@ -229,10 +230,10 @@
 
   const acquire = async (
     name: string,
-    wanted: Permits,
+    permits: Permits,
     { start = 'u', signal = NEVER as CancelSignal } = {},
   ) => {
-    const permit = await semaphore.acquire(start, wanted, signal);
+    const permit = await semaphore.acquire(start, permits, signal);
     started.push(name);
     return permit;
   };
--- a/tests/quotas.spec.ts
+++ b/tests/quotas.spec.ts
@@ -9,7 +9,7 @@
 const QUOTA: Quota = { perSecond: 40, burst: 40 };
 const DAEMONS = [8, 7, 8];
 
-/** Most requests that may run in any window. */
+/** Maximum number of requests that may run in any window. */
 function allowedInWindow({ perSecond, burst }: Quota): number {
   return (perSecond * WINDOW_S + burst) * (1 + OVERSHOOT_RATIO) + SLACK;
 }
@@ -79,8 +79,8 @@
       const node = fleet.nodes[0]!;
       const hints: number[] = [];
       for (let i = 0; i < 10; i++) {
-        void Promise.resolve(node.quotas.acquire('dairy', QUOTA)).then(taken => {
-          if (taken.kind === 'over') hints.push(taken.retryAfterMs);
+        void Promise.resolve(node.quotas.acquire('dairy', QUOTA)).then(decision => {
+          if (decision.kind === 'over') hints.push(decision.retryAfterMs);
         });
         await fleet.pass(100, 200, () => fleet.anyNode());
       }
@@ -93,11 +93,11 @@
   describe('an organisation that stays below its quota', () => {
     const servedRatio = async (
       seed: string,
-      placement: (fleet: QuotaSimulation) => () => (typeof fleet.nodes)[0],
+      nodeSelector: (fleet: QuotaSimulation) => () => (typeof fleet.nodes)[0],
     ) => {
       using fleet = simulation(seed);
       await fleet.pass(4000, 0, () => fleet.anyNode());
-      await fleet.pass(15_000, 0.75 * QUOTA.perSecond, placement(fleet));
+      await fleet.pass(15_000, 0.75 * QUOTA.perSecond, nodeSelector(fleet));
       return fleet.counts.taken / fleet.counts.asked;
     };
 
@@ -126,7 +126,7 @@
     it('never runs more requests than allowed', async function () {
       this.timeout(120_000);
       const step = fc.record({
-        what: fc.constantFrom('cut', 'heal', 'restart', 'sleep', 'loss', 'calm'),
+        fault: fc.constantFrom('partition', 'heal', 'restart', 'suspend', 'loss', 'none'),
         share: fc.double({ min: 0.05, max: 0.9, noNaN: true }),
         forMs: fc.integer({ min: 200, max: 2500 }),
         load: fc.constantFrom(20, 60, 250),
@@ -137,13 +137,13 @@
         async (seed, steps) => {
           using fleet = simulation(seed);
           await fleet.pass(1500, 0, () => fleet.anyNode());
-          for (const { what, share, forMs, load } of steps) {
-            const some = new Set(fleet.nodes.filter(() => fleet.random() < share));
-            if (what === 'cut') fleet.path = (a, b) => some.has(a) === some.has(b);
-            if (what === 'heal') fleet.path = () => true;
-            if (what === 'restart') for (const node of some) fleet.restart(node);
-            if (what === 'sleep') for (const node of some) fleet.suspend(node, forMs * 2);
-            fleet.loss = what === 'loss' ? share / 2 : 0;
+          for (const { fault, share, forMs, load } of steps) {
+            const affected = new Set(fleet.nodes.filter(() => fleet.random() < share));
+            if (fault === 'partition') fleet.path = (a, b) => affected.has(a) === affected.has(b);
+            if (fault === 'heal') fleet.path = () => true;
+            if (fault === 'restart') for (const node of affected) fleet.restart(node);
+            if (fault === 'suspend') for (const node of affected) fleet.suspend(node, forMs * 2);
+            fleet.loss = fault === 'loss' ? share / 2 : 0;
             await fleet.pass(forMs, load, () => fleet.anyNode());
           }
           expect(fleet.maxInWindow).to.be.at.most(allowedInWindow(QUOTA));
--- a/tests/rateLimit.spec.ts
+++ b/tests/rateLimit.spec.ts
@@ -19,8 +19,8 @@
 
   beforeEach(() => (clock = new ManualClock()));
 
-  /** Takes all available tokens at each step; returns the times. */
-  const takeAll = (rate: RateLimit, ms: number, stepMs = 5): number[] => {
+  /** Consumes all available tokens at each step; returns the times. */
+  const consumeAll = (rate: RateLimit, ms: number, stepMs = 5): number[] => {
     const times: number[] = [];
     for (const end = clock.now() + ms; clock.now() < end; clock.advance(stepMs)) {
       while (rate.hasToken && times.length < 10_000) {
@@ -33,7 +33,7 @@
 
   it('allows no more in any window than the reported rate and a burst of half a second, whatever happens in between', () => {
     const step = fc.oneof(
-      fc.record({ kind: fc.constant('take' as const), ms: fc.integer({ min: 1, max: 3000 }) }),
+      fc.record({ kind: fc.constant('consume' as const), ms: fc.integer({ min: 1, max: 3000 }) }),
       fc.record({ kind: fc.constant('pause' as const), ms: fc.integer({ min: 1, max: 20_000 }) }),
       fc.record({ kind: fc.constant('report' as const), rate: fc.double({ min: 0, max: 50, noNaN: true }) }),
       fc.record({
@@ -48,7 +48,7 @@
         rate.named(50);
         const times: number[] = [];
         for (const s of steps) {
-          if (s.kind === 'take') times.push(...takeAll(rate, s.ms));
+          if (s.kind === 'consume') times.push(...consumeAll(rate, s.ms));
           else if (s.kind === 'pause') clock.advance(s.ms);
           else if (s.kind === 'report') rate.named(s.rate);
           else rate.applyPeerRate(s.rate);
@@ -66,29 +66,29 @@
     time.step(60_000);
     expect(rate.hasToken).to.equal(false);
     time.pass(60_000);
-    let taken = 0;
-    for (; rate.hasToken; taken++) rate.consumeToken();
-    expect(taken).to.equal(5);
+    let consumed = 0;
+    for (; rate.hasToken; consumed++) rate.consumeToken();
+    expect(consumed).to.equal(5);
   });
 
   it('is fully used under sufficient load', () => {
     const rate = new RateLimit(clock);
     rate.named(18.9);
-    expect(takeAll(rate, 20_000).length).to.be.within(377, 378);
+    expect(consumeAll(rate, 20_000).length).to.be.within(377, 378);
   });
 
   it('of almost 0 still allows single requests', () => {
     const rate = new RateLimit(clock);
     rate.named(0.25);
-    expect(takeAll(rate, 9000)).to.have.length(2);
+    expect(consumeAll(rate, 9000)).to.have.length(2);
   });
 
   it('is not removed by the response to a request that was sent before the rate was reported', () => {
     const rate = new RateLimit(clock);
-    const askedAt = clock.awake();
+    const sentAt = clock.awake();
     clock.advance(10);
     rate.named(5);
-    rate.onRateAbsent(askedAt);
+    rate.onRateAbsent(sentAt);
     expect(rate.perSecond).to.equal(5);
     clock.advance(10);
     rate.onRateAbsent(clock.awake());
@@ -116,7 +116,7 @@
         cold: false,
       });
 
-    it('refuses at once what would wait too long although slots are free, and reports the concurrency at that rate', async () => {
+    it('refuses requests at once that would wait too long although slots are free, and reports the concurrency at that rate', async () => {
       using gate = admission(50);
       gate.rate.named(4);
       const results = await Promise.all([1, 1.5, 1.9].map(level => gate.request(level, 1000, NEVER)));
@@ -199,7 +199,7 @@
     const respond = (rateLimit: ResponseNotice['rateLimit']) =>
       history().onNotice(noticeWith(rateLimit), clock.awake());
     const perSecond = () => history().admission.rate.perSecond;
-    const pass = async (ms: number) => {
+    const advance = async (ms: number) => {
       for (let i = 0; i < ms; i += 500) {
         clock.advance(500);
         await announce();
@@ -242,15 +242,15 @@
     it('of 0 is probed every few seconds, first by a health check', async () => {
       healthNotice = noticeWith(0);
       respond(0);
-      await pass(10_000);
+      await advance(10_000);
       expect(healthChecks).to.be.within(3, 4);
       expect(history().admission.rate.hasToken).to.equal(false);
       healthNotice = noticeWith('none');
-      await pass(3000);
+      await advance(3000);
       expect(history().admission.rate.hasToken).to.equal(true);
       expect(perSecond()).to.equal(0);
       healthNotice = noticeWith(7);
-      await pass(3000);
+      await advance(3000);
       expect(perSecond()).to.equal(7);
     });
 
@@ -271,7 +271,7 @@
 
     it('that is not slow is not probed', async () => {
       respond(5);
-      await pass(10_000);
+      await advance(10_000);
       expect(healthChecks).to.equal(0);
     });
   });
--- a/tests/relay.spec.ts
+++ b/tests/relay.spec.ts
@@ -65,9 +65,9 @@
     ) => {
       forwardedSignals.push(signal);
       return new Promise<ReturnType<typeof singlePartResponse>>(resolve => {
-        const cancelled = () =>
+        const onAbort = () =>
           resolve(singlePartResponse(refusalPart(createRefusal('contactLost', 'Cancelled.'), 0)));
-        signal.addEventListener('abort', cancelled);
+        signal.addEventListener('abort', onAbort);
       });
     };
     return new Relay({
--- a/tests/requestPath.spec.ts
+++ b/tests/requestPath.spec.ts
@@ -16,38 +16,38 @@
 
   after(() => fleet[Symbol.asyncDispose]());
 
-  const send = (path: string, init: RequestInit = {}, entry = 0) =>
-    fetch(`${fleet.callerUrls[entry]!}${path}`, { ...init, headers: { 'x-token': 't7', ...init.headers } });
+  const send = (path: string, init: RequestInit = {}, ingress = 0) =>
+    fetch(`${fleet.callerUrls[ingress]!}${path}`, { ...init, headers: { 'x-token': 't7', ...init.headers } });
 
   describe('a request', () => {
-    it('passes through three services and gets a complete response, from every daemon', async () => {
-      for (const entry of fleet.nodes.keys()) {
-        const answer = await send('/exports/sensors/7', {}, entry);
-        expect(answer.status).to.equal(200);
-        expect(answer.headers.get('cleatquay-outcome')).to.equal('answered');
-        const body = (await answer.json()) as { children: { children: { route: string }[] }[] };
+    it('reaches three services and gets a complete response, from every daemon', async () => {
+      for (const ingress of fleet.nodes.keys()) {
+        const response = await send('/exports/sensors/7', {}, ingress);
+        expect(response.status).to.equal(200);
+        expect(response.headers.get('cleatquay-outcome')).to.equal('answered');
+        const body = (await response.json()) as { children: { children: { route: string }[] }[] };
         expect(body.children[0]?.children[0]?.route).to.equal('alarms.list');
       }
     });
 
     it('streams a large response completely', async () => {
-      const answer = await send('/exports/sensors/7?size=3000000');
-      const body = (await answer.json()) as { filler: string };
+      const response = await send('/exports/sensors/7?size=3000000');
+      const body = (await response.json()) as { filler: string };
       expect(body.filler).to.have.lengthOf(3_000_000);
     });
 
     it('streams a large request body completely', async () => {
-      const answer = await send('/receiving/receipts', { method: 'POST', body: 'x'.repeat(2_000_000) });
-      expect(((await answer.json()) as { received: number }).received).to.equal(2_000_000);
+      const response = await send('/receiving/receipts', { method: 'POST', body: 'x'.repeat(2_000_000) });
+      expect(((await response.json()) as { received: number }).received).to.equal(2_000_000);
     });
   });
 
   describe('a request that matches no route', () => {
     it('gets the code of an unknown route, and the outcome not-run', async () => {
-      const answer = await send('/history/nothing');
-      expect(answer.status).to.equal(404);
-      expect(answer.headers.get('cleatquay-outcome')).to.equal('not-run');
-      expect(await answer.json()).to.include({ code: 1010, result: 'routeUnknown' });
+      const response = await send('/history/nothing');
+      expect(response.status).to.equal(404);
+      expect(response.headers.get('cleatquay-outcome')).to.equal('not-run');
+      expect(await response.json()).to.include({ code: 1010, result: 'routeUnknown' });
     });
   });
 
@@ -60,13 +60,13 @@
       });
 
     it('with an address on another VM is refused, naming the field', async () => {
-      const answer = await announce({ address: '10.0.0.1:80' });
-      expect(await answer.json()).to.include({ code: 1006, field: 'address' });
+      const response = await announce({ address: '10.0.0.1:80' });
+      expect(await response.json()).to.include({ code: 1006, field: 'address' });
     });
 
     it('with an address on which nothing listens is refused', async () => {
-      const answer = await announce({});
-      expect(await answer.json()).to.include({ code: 1007, field: 'address' });
+      const response = await announce({});
+      expect(await response.json()).to.include({ code: 1007, field: 'address' });
     });
   });
 });
--- a/tests/responseNotice.spec.ts
+++ b/tests/responseNotice.spec.ts
@@ -51,7 +51,7 @@
 
     afterEach(() => fleet[Symbol.asyncDispose]());
 
-    const ask = (): Promise<CallerResponse> => fleet.send(0);
+    const send = (): Promise<CallerResponse> => fleet.send(0);
     const lines = (text: string) => fleet.logged.filter(({ msg }) => msg.includes(text)).length;
     const metrics = async () => {
       const { operatorAddress } = fleet.nodes[0]!.daemon.membership.me;
@@ -60,24 +60,24 @@
 
     it('is logged when it changes, and exported', async () => {
       const { behaviour } = fleet.nodes[0]!.upstream;
-      await ask();
+      await send();
       expect(await metrics()).to.match(/^cleatquay_upstream_rate_limit -1$/m);
       behaviour.rateLimit = '18.9';
-      await ask();
+      await send();
       expect(lines('An upstream reports a rate limit.')).to.equal(1);
       expect(await metrics()).to.match(/^cleatquay_upstream_rate_limit 18.9$/m);
       expect(await metrics()).to.match(/^cleatquay_upstream_answers_with_rate_limit 1$/m);
       behaviour.rateLimit = 'many';
-      await until(async () => (await ask()) && lines('CQ1017') === 1);
+      await until(async () => (await send()) && lines('CQ1017') === 1);
       behaviour.rateLimit = undefined;
-      await until(async () => (await ask()) && lines('no longer reports a rate limit') === 1);
+      await until(async () => (await send()) && lines('no longer reports a rate limit') === 1);
     });
 
     it('is logged at most once a second, however often it changes', async () => {
       const { behaviour } = fleet.nodes[0]!.upstream;
       for (let i = 1; i <= 20; i++) {
         behaviour.rateLimit = String(1000 + i);
-        await ask();
+        await send();
       }
       expect(lines('An upstream reports a rate limit.')).to.be.within(1, 2);
     });
--- a/tests/retryBudget.spec.ts
+++ b/tests/retryBudget.spec.ts
@@ -30,7 +30,7 @@
 const UPSTREAMS = 4;
 
 /** What happens to an attempt: a response after its calls, a refusal, a failure after its calls, or a lost connection before or after its calls. */
-type AttemptOutcome = 'answer' | 'refuse' | 'break' | 'lose' | 'lose-after-work';
+type AttemptOutcome = 'respond' | 'refuse' | 'fail' | 'disconnect' | 'disconnect-after-calls';
 
 /** A chain of forwarders in one process, which counts the attempts of all calls. */
 class Chain {
@@ -84,7 +84,7 @@
       return singlePartResponse(
         refusalPart(createRefusal('overloaded', '', { elsewhereHelps: true }), context.retryTokens),
       );
-    if (outcome === 'lose') throw new ConnectionLoss('gone', false);
+    if (outcome === 'disconnect') throw new ConnectionLoss('gone', false);
     const running = new RunningCall(context, ROUTE, 1e9, NEVER);
     for (let i = 0; i < this.fanOut && context.depth < this.depth; i++) {
       const child = await this.call({
@@ -94,8 +94,8 @@
       });
       running.returnTokens(child?.unusedRetryTokens ?? 0);
     }
-    if (outcome === 'lose-after-work') throw new ConnectionLoss('gone', false);
-    if (outcome === 'break') {
+    if (outcome === 'disconnect-after-calls') throw new ConnectionLoss('gone', false);
+    if (outcome === 'fail') {
       const refusal = createRefusal('upstreamBroke', '', { elsewhereHelps: true });
       return singlePartResponse(refusalPart(refusal, running.retryTokens));
     }
@@ -140,13 +140,26 @@
 function member(i: number) {
   const address = `127.0.0.${String(i + 1)}:1`;
   const upstreams = [{ service: 's', address, slots: 10, connections: 10, draining: false }];
-  const place = { address, gossipAddress: address, operatorAddress: address, failureDomain: 'a' };
-  return { ...place, epoch: 1, incarnation: 1, state: 'ALIVE' as const, upstreams, isPlatformLost: false };
+  const addresses = { address, gossipAddress: address, operatorAddress: address, failureDomain: 'a' };
+  return {
+    ...addresses,
+    epoch: 1,
+    incarnation: 1,
+    state: 'ALIVE' as const,
+    upstreams,
+    isPlatformLost: false,
+  };
 }
 
 describe('the retry budget', () => {
   it('limits the attempts for one client request over the whole chain, for any depth, fan-out and failures', async () => {
-    const outcome = fc.constantFrom<AttemptOutcome>('answer', 'refuse', 'break', 'lose', 'lose-after-work');
+    const outcome = fc.constantFrom<AttemptOutcome>(
+      'respond',
+      'refuse',
+      'fail',
+      'disconnect',
+      'disconnect-after-calls',
+    );
     await fc.assert(
       fc.asyncProperty(
         fc.integer({ min: 1, max: 7 }),
@@ -168,21 +181,24 @@
     );
   });
 
-  it('never reports "not run" when one of the attempts may have run', async () => {
-    const outcome = fc.constantFrom<AttemptOutcome>('refuse', 'break', 'lose');
+  it('never states that a call has not run when one of the attempts may have run', async () => {
+    const outcome = fc.constantFrom<AttemptOutcome>('refuse', 'fail', 'disconnect');
     await fc.assert(
       fc.asyncProperty(fc.array(outcome, { minLength: 1, maxLength: 6 }), async outcomes => {
         const chain = new Chain(1, 1, outcomes);
         const last = await chain.run(3);
-        const tried = Array.from({ length: chain.attempts }, (_, i) => outcomes[i % outcomes.length]);
-        const ranNowhere = tried.every(f => f === 'refuse');
-        expect(last?.refusal?.outcome === 'not-run', tried.join(', ')).to.equal(ranNowhere);
+        const attemptOutcomes = Array.from(
+          { length: chain.attempts },
+          (_, i) => outcomes[i % outcomes.length],
+        );
+        const ranNowhere = attemptOutcomes.every(o => o === 'refuse');
+        expect(last?.refusal?.outcome === 'not-run', attemptOutcomes.join(', ')).to.equal(ranNowhere);
       }),
     );
   });
 
-  it('allows retries: a call refused by one upstream is answered by another', async () => {
-    const chain = new Chain(3, 1, ['answer', 'refuse', 'answer', 'answer']);
+  it('allows retries: a call that one upstream refuses gets its response from another', async () => {
+    const chain = new Chain(3, 1, ['respond', 'refuse', 'respond', 'respond']);
     const last = await chain.run(3);
     expect(last?.end).to.not.equal(undefined);
     expect(chain.attempts).to.equal(4);
--- a/tests/revocation.spec.ts
+++ b/tests/revocation.spec.ts
@@ -50,7 +50,7 @@
     while (performance.now() - partitionedAt < REVOCATION_MS) await statusesWith('revoked');
     expect(await statusesWith('revoked')).to.deep.equal([503, 503]);
     expect(await statusesWith('kept')).to.deep.equal([503, 503]);
-    expect(await statusesWith('never-held')).to.deep.equal([503, 503]);
+    expect(await statusesWith('never-valid')).to.deep.equal([503, 503]);
     const refusal = await sendTo(0, 'kept');
     expect(refusal.text).to.contain('"code":2014').and.to.contain('not-run');
     expect(Number(refusal.headers['retry-after'])).to.be.within(0.1, 3);
--- a/tests/routeCosts.spec.ts
+++ b/tests/routeCosts.spec.ts
@@ -31,7 +31,7 @@
     );
   });
 
-  it('never move a cheap request, and move an expensive one only back', () => {
+  it('never change the level of a cheap request, and never admit an expensive one earlier', () => {
     fc.assert(
       fc.property(ratios, levels, (ratio, level) => {
         const costs = costsOf(ratio);
--- a/tests/routing.spec.ts
+++ b/tests/routing.spec.ts
@@ -3,14 +3,14 @@
 import { UpstreamDirectory, Router, type RouterOptions } from '@cleatquay/routing';
 import { expect } from 'chai';
 
-const NONE_TRIED: ReadonlySet<string> = new Set();
+const NONE_ATTEMPTED: ReadonlySet<string> = new Set();
 
 /** A member with an upstream of the service `s`; the router is in the failure domain `a`. */
 function member(name: string, failureDomain: string, draining = false): Member {
   const address = `127.0.0.1:${name}`;
   const upstreams = [{ service: 's', address, slots: 10, connections: 10, draining }];
-  const places = { address, gossipAddress: address, operatorAddress: address, failureDomain };
-  return { ...places, epoch: 1, incarnation: 1, state: 'ALIVE', upstreams, isPlatformLost: false };
+  const addresses = { address, gossipAddress: address, operatorAddress: address, failureDomain };
+  return { ...addresses, epoch: 1, incarnation: 1, state: 'ALIVE', upstreams, isPlatformLost: false };
 }
 
 describe('routing', () => {
@@ -27,18 +27,18 @@
     router = newRouter();
   });
 
-  const newRouter = (contactOf?: RouterOptions['reachabilityOf']) =>
+  const newRouter = (reachabilityOf?: RouterOptions['reachabilityOf']) =>
     new Router({
       clock,
       random: seededRandom('routing'),
       directory,
       self: 'me',
       failureDomain: 'a',
-      ...(contactOf && { reachabilityOf: contactOf }),
+      ...(reachabilityOf && { reachabilityOf }),
     });
 
   const chosen = (level = 1) => {
-    const selection = router.choose('s', 's.run', level, NONE_TRIED);
+    const selection = router.choose('s', 's.run', level, NONE_ATTEMPTED);
     return selection.kind === 'chosen' ? selection.candidate.address : selection.kind;
   };
 
@@ -52,11 +52,11 @@
     return counted;
   };
 
-  const measure = (name: string, ms: number, times = 20) => {
+  const runCalls = (name: string, ms: number, times = 20) => {
     for (let i = 0; i < times; i++) {
-      const ended = router.trackCall(`127.0.0.1:${name}`);
+      const recordEnd = router.trackCall(`127.0.0.1:${name}`);
       clock.advance(ms);
-      ended('answered');
+      recordEnd('answered');
     }
   };
 
@@ -88,27 +88,27 @@
   });
 
   it('avoids an upstream in the same failure domain that is much slower than the others, except for few probes', () => {
-    measure('1', 100);
-    measure('2', 10);
-    measure('3', 10);
+    runCalls('1', 100);
+    runCalls('2', 10);
+    runCalls('3', 10);
     expect(shares()['127.0.0.1:1'] ?? 0)
       .to.be.greaterThan(0)
       .and.below(0.1);
   });
 
   it('probes a slow upstream with few calls of running requests, to detect its recovery', () => {
-    measure('1', 100);
-    measure('2', 10);
-    measure('3', 10);
-    const isSlowOne = () => {
-      const selection = router.choose('s', 's.run', 1, NONE_TRIED, 0);
+    runCalls('1', 100);
+    runCalls('2', 10);
+    runCalls('3', 10);
+    const choosesSlowUpstream = () => {
+      const selection = router.choose('s', 's.run', 1, NONE_ATTEMPTED, 0);
       return selection.kind === 'chosen' && selection.candidate.address === '127.0.0.1:1';
     };
-    expect(Array.from({ length: 1000 }, isSlowOne)).to.include(true);
+    expect(Array.from({ length: 1000 }, choosesSlowUpstream)).to.include(true);
   });
 
   it('detects an upstream that stops responding before the first of its calls has ended', () => {
-    ['1', '2', '3'].forEach(name => measure(name, 10));
+    ['1', '2', '3'].forEach(name => runCalls(name, 10));
     [1, 2, 3, 4].forEach(() => router.trackCall('127.0.0.1:1'));
     expect(shares()).to.have.all.keys('127.0.0.1:1');
     clock.advance(60);
@@ -116,7 +116,7 @@
   });
 
   it('still chooses an upstream when all of them are slow', () => {
-    ['1', '2', '3'].forEach(name => measure(name, 1000));
+    ['1', '2', '3'].forEach(name => runCalls(name, 1000));
     expect(shares()).to.have.all.keys('127.0.0.1:1');
   });
 
@@ -180,7 +180,7 @@
     expect(shares()).to.not.have.any.keys('127.0.0.1:1');
   });
 
-  it('removes draining upstreams and those of dead or departed members at once', () => {
+  it('removes draining upstreams and those of members that are dead or have left at once', () => {
     directory.update(member('1', 'a', true));
     directory.update({ ...member('2', 'b'), state: 'DEAD' });
     expect(shares()).to.have.all.keys('127.0.0.1:3');
--- a/tests/slowReaders.spec.ts
+++ b/tests/slowReaders.spec.ts
@@ -8,10 +8,10 @@
 import { until } from './fixtures/platformFleet.js';
 
 /** Far more than fits into the buffers of a connection. */
-const ANSWER_BYTES = 32 * 1_048_576;
+const RESPONSE_BYTES = 32 * 1_048_576;
 
 /**
- * A daemon that shuts down waits for requests in flight and then closes its connections. That truncates a response which node
+ * A daemon that shuts down waits for requests in flight and then closes its connections. That truncates a response which Node.js
  * has buffered but the caller has not read yet, so such a request still counts as in flight.
  */
 describe('a response to a caller that reads slowly', () => {
@@ -20,7 +20,7 @@
 
   beforeEach(async () => {
     inFlight = 0;
-    const body = Buffer.alloc(ANSWER_BYTES);
+    const body = Buffer.alloc(RESPONSE_BYTES);
     gateway = new RelayGateway({
       ingress: {
         handle: () =>
@@ -55,7 +55,7 @@
     expect(inFlight).to.equal(1);
     let bytes = 0;
     caller.on('data', (chunk: Buffer) => (bytes += chunk.length));
-    await until(() => bytes > ANSWER_BYTES && inFlight === 0);
+    await until(() => bytes > RESPONSE_BYTES && inFlight === 0);
     caller.destroy();
   });
 });
--- a/tests/storeCalls.spec.ts
+++ b/tests/storeCalls.spec.ts
@@ -3,7 +3,7 @@
 
 const DOMAINS = ['z1', 'z1', 'z1', 'z1', 'z2', 'z2', 'z2', 'z2'];
 /** Platform readers of each failure domain. */
-const READERS = 2;
+const READERS_PER_DOMAIN = 2;
 
 describe('the requests of a fleet to the store', () => {
   let fleet: PlatformFleet;
@@ -20,7 +20,7 @@
 
   it('are a row, a list and a configuration for each daemon that starts, and its upstream', () => {
     expect(calls('/cleatquay/rows-tx')).to.be.at.most(2 * DOMAINS.length);
-    expect(calls('/cleatquay/rows-get')).to.be.at.most(2 * DOMAINS.length + READERS);
+    expect(calls('/cleatquay/rows-get')).to.be.at.most(2 * DOMAINS.length + READERS_PER_DOMAIN);
   });
 
   it('are those of two daemons in each failure domain for a new configuration, which all daemons get within a second', async () => {
@@ -32,7 +32,7 @@
     await until(() => generations().every(generation => generation === 2));
     expect(performance.now() - start).to.be.below(1000);
     await new Promise(resolve => setTimeout(resolve, 200));
-    expect(calls('/cleatquay/rows-feed') - before).to.be.at.most(2 * READERS);
+    expect(calls('/cleatquay/rows-feed') - before).to.be.at.most(2 * READERS_PER_DOMAIN);
   });
 
   it('are few while the store is unreachable', async () => {
--- a/tests/suspendedVm.spec.ts
+++ b/tests/suspendedVm.spec.ts
@@ -3,8 +3,8 @@
  * existing connections as delayed (504), until one of the daemons was restarted. And a request that was being read when the
  * VM was suspended reached its upstream with the whole deadline: all of 5 s after a suspension of 3 s.
  *
- * Both come about because the monotonic clock, from which a daemon takes send times and remaining times, stands still
- * while the VM is suspended. So each frame seemed to a peer to have been sent seconds earlier than it was.
+ * Both come about because the monotonic clock, from which a daemon takes send times and remaining times, does not
+ * advance while the VM is suspended. So each frame seemed to a peer to have been sent seconds earlier than it was.
  */
 import { SystemClock } from '@cleatquay/clock';
 import { expect } from 'chai';
@@ -62,7 +62,7 @@
         expect(statuses).to.deep.equal(statuses.map(() => 200));
       });
 
-      it('sends calls after the time of day was set forward and back', async () => {
+      it('sends calls after the wall clock was set forward and back', async () => {
         expect((await fleet.send(0)).status).to.equal(200);
         suspendedTime.step(SUSPENDED_MS);
         const statuses = [(await fleet.send(0)).status];
@@ -87,7 +87,7 @@
       return request({ host: ip, port, method: 'POST', path: '/x', headers, agent: false });
     };
 
-    it('passes on to the upstream only the remaining time of the caller', async () => {
+    it('forwards only the remaining time of the caller to the upstream', async () => {
       const call = post(fleet.nodes[0]!);
       const responded = new Promise(resolve => call.on('response', resolve));
       call.write('half');
@@ -99,7 +99,7 @@
       expect(Number(received!.headers['deadline-ms'])).to.be.below(DEADLINE_MS - 3000 + TOLERANCE_MS);
     });
 
-    it('answers at the timeout of the route, though it was suspended for most of it', async () => {
+    it('responds at the timeout of the route, though it was suspended for most of it', async () => {
       fleet.nodes[1]!.upstream.behaviour.workMs = 60_000;
       const startedAt = performance.now();
       const response = fleet.send(0, { host: 'short.example' });
--- a/tests/upstreams.spec.ts
+++ b/tests/upstreams.spec.ts
@@ -68,12 +68,12 @@
     });
   });
 
-  describe('a start with the instance id of an earlier one', () => {
+  describe('a process start with the instance id of an earlier one', () => {
     it('is a new upstream, whose sequence numbers start anew', async () => {
       await announce('same', { born: 1000, sequence: 500 });
-      const former = upstreams.get('history');
+      const earlier = upstreams.get('history');
       await announce('same', { born: 2000, sequence: 1 });
-      expect(upstreams.get('history')).to.not.equal(former);
+      expect(upstreams.get('history')).to.not.equal(earlier);
       clock.advance(2 * HEARTBEAT_MS);
       await announce('same', { born: 2000, sequence: 2 });
       clock.advance(2 * HEARTBEAT_MS);
@@ -120,14 +120,14 @@
   });
 
   describe('an upstream that reports in a response that it is shutting down', () => {
-    const LEAVING_NOTICE: ResponseNotice = { rateLimit: 'none', isLeaving: true };
-    const reportLeaving = () => upstreams.get('history')!.onNotice(LEAVING_NOTICE, clock.awake());
+    const SHUTDOWN_NOTICE: ResponseNotice = { rateLimit: 'none', isLeaving: true };
+    const reportShutdown = () => upstreams.get('history')!.onNotice(SHUTDOWN_NOTICE, clock.awake());
     const isDraining = () => upstreams.get('history')!.isDraining;
 
-    it('drains until it ends, whatever its heartbeats report and operators set, and is recorded once', async () => {
+    it('drains until its process exits, whatever its heartbeats report and operators set, and is recorded once', async () => {
       await announce('a', { born: 1 });
-      reportLeaving();
-      reportLeaving();
+      reportShutdown();
+      reportShutdown();
       expect(isDraining()).to.equal(true);
       await announce('a', { born: 1 });
       upstreams.setDraining(true);
@@ -137,9 +137,9 @@
       expect(departures).to.equal(1);
     });
 
-    it('still drains after it was removed meanwhile, and its next start does not', async () => {
+    it('still drains after it was removed meanwhile, and its next process start does not', async () => {
       await announce('a', { born: 1 });
-      reportLeaving();
+      reportShutdown();
       upstreams.get('history')!.onConnectionRefused();
       await announce('a', { born: 1 });
       expect(upstreams.get('history')?.isDraining ?? true).to.equal(true);
@@ -149,7 +149,7 @@
 
     it('drains without an instance id, too', async () => {
       await announce('');
-      reportLeaving();
+      reportShutdown();
       await announce('');
       expect(isDraining()).to.equal(true);
       expect(upstreams.departures).to.deep.equal([]);
@@ -172,7 +172,7 @@
       upstreams.setDraining(true);
       expect(upstreams.get('history')!.notice).to.equal(undefined);
       upstreams.setDraining(false);
-      reportLeaving();
+      reportShutdown();
       expect(upstreams.get('history')!.notice).to.include({ instanceId: 'a', born: 1, isLeaving: true });
     });
 
