--- a/tests/organisationFile.spec.ts
+++ b/tests/organisationFile.spec.ts
@@ -63,7 +63,7 @@
     });
   }
 
-  it('are passed to upstreams by name, and without a header if there is none', () => {
+  it('are forwarded to upstreams by name in a header, which is left out if there is none', () => {
     const headers = (organisation: string) =>
       defaultDialect.requestHeaders({ ...CALL_CONTEXT, organisation }, '');
     expect(headers('dairy')).to.include.members(['cleatquay-organisation', 'dairy']);
@@ -86,7 +86,7 @@
 
     after(() => fleet[Symbol.asyncDispose]());
 
-    const requestStatus = async (node: number, key?: string) => {
+    const sendRequest = async (node: number, key?: string) => {
       const headers: Record<string, string> = key === undefined ? {} : { authorization: `Bearer ${key}` };
       const response = await fetch(`${fleet.callerUrls[node]!}${PATH}`, { headers });
       await response.arrayBuffer();
@@ -94,21 +94,21 @@
     };
 
     it('accept requests with a known key only', async () => {
-      expect(await requestStatus(0, 'pharmacy-key')).to.equal(200);
-      expect(await requestStatus(1, 'pharmacy-key')).to.equal(200);
-      expect(await requestStatus(0)).to.equal(401);
-      expect(await requestStatus(1, 'nobody')).to.equal(401);
+      expect(await sendRequest(0, 'pharmacy-key')).to.equal(200);
+      expect(await sendRequest(1, 'pharmacy-key')).to.equal(200);
+      expect(await sendRequest(0)).to.equal(401);
+      expect(await sendRequest(1, 'nobody')).to.equal(401);
     });
 
     it('are limited by their quotas across the fleet', async () => {
       const until = performance.now() + 10_000;
-      while ((await requestStatus(0, DAIRY_KEY)) !== 200) expect(performance.now()).to.be.below(until);
+      while ((await sendRequest(0, DAIRY_KEY)) !== 200) expect(performance.now()).to.be.below(until);
       const statuses = await Promise.all(
-        Array.from({ length: 150 }, (_, i) => requestStatus(i % 2, DAIRY_KEY)),
+        Array.from({ length: 150 }, (_, i) => sendRequest(i % 2, DAIRY_KEY)),
       );
       expect(statuses).to.include(429);
       expect(statuses.filter(status => status === 200).length).to.be.within(1, 80);
-      expect(await requestStatus(0, 'pharmacy-key')).to.equal(200);
+      expect(await sendRequest(0, 'pharmacy-key')).to.equal(200);
     });
   });
 });
--- a/tests/organisations.spec.ts
+++ b/tests/organisations.spec.ts
@@ -14,7 +14,7 @@
 
 const DAIRY: OrganisationDefinition = { name: 'dairy', apiKeys: ['dairy-key-1', 'dairy-key-2'] };
 const PHARMACY: OrganisationDefinition = { name: 'pharmacy', apiKeys: ['pharmacy-key'] };
-const TWO_MICROSECONDS_MS = 0.002;
+const MAX_LOOKUP_MS = 0.002;
 const KEYS = [...DAIRY.apiKeys, ...PHARMACY.apiKeys];
 
 const bearer = (key: string) => ({ Authorization: `Bearer ${key}` });
@@ -40,10 +40,10 @@
         const id = `named-${String(node)}`;
         const headers = { ...bearer('pharmacy-key'), 'Tenant-Id': 'dairy', 'X-Kept': 'as it is' };
         expect((await fleet.send(node, { id, headers })).status).to.equal(200);
-        const [arrival] = fleet.receivedRequests(id);
-        expect(arrival?.headers['tenant-id']).to.equal('pharmacy');
-        expect(arrival?.headers.authorization).to.equal(undefined);
-        expect(arrival?.headers['x-kept']).to.equal('as it is');
+        const [received] = fleet.receivedRequests(id);
+        expect(received?.headers['tenant-id']).to.equal('pharmacy');
+        expect(received?.headers.authorization).to.equal(undefined);
+        expect(received?.headers['x-kept']).to.equal('as it is');
       }
     });
 
@@ -66,14 +66,14 @@
     });
 
     it('is optional on a public route; a key that is sent there must be valid, and is not forwarded', async () => {
-      const ask = (id: string, headers: Record<string, string>) =>
+      const send = (id: string, headers: Record<string, string>) =>
         fleet.send(0, { host: 'open.example', id, headers });
-      expect((await ask('open-1', { 'Tenant-Id': 'dairy' })).status).to.equal(200);
+      expect((await send('open-1', { 'Tenant-Id': 'dairy' })).status).to.equal(200);
       expect(fleet.receivedRequests('open-1')[0]?.headers['tenant-id']).to.equal(undefined);
-      expect((await ask('open-2', bearer('dairy-key-1'))).status).to.equal(200);
+      expect((await send('open-2', bearer('dairy-key-1'))).status).to.equal(200);
       expect(fleet.receivedRequests('open-2')[0]?.headers.authorization).to.equal(undefined);
       expect(fleet.receivedRequests('open-2')[0]?.headers['tenant-id']).to.equal('dairy');
-      expect((await ask('open-3', bearer('nobody'))).status).to.equal(401);
+      expect((await send('open-3', bearer('nobody'))).status).to.equal(401);
       expect(fleet.receivedRequests('open-3')).to.have.lengthOf(0);
     });
 
@@ -166,10 +166,10 @@
       const vms = ['z1', 'z1', 'z2'].map(failureDomain => ({ service: 'history', failureDomain }));
       const bounded = { ...DAIRY, ratePerS: 10, burst: 6 };
       await using fleet = await PlatformFleet.start(vms, [routeTo('history')], [bounded, PHARMACY]);
-      const ask = (i: number, key: string) => fleet.send(i % 3, { headers: bearer(key) });
-      await until(async () => (await ask(0, 'dairy-key-1')).status === 200);
+      const send = (i: number, key: string) => fleet.send(i % 3, { headers: bearer(key) });
+      await until(async () => (await send(0, 'dairy-key-1')).status === 200);
       const startedAt = performance.now();
-      const responses = await Promise.all(Array.from({ length: 120 }, (_, i) => ask(i, 'dairy-key-1')));
+      const responses = await Promise.all(Array.from({ length: 120 }, (_, i) => send(i, 'dairy-key-1')));
       const seconds = (performance.now() - startedAt) / 1000;
       const served = responses.filter(({ status }) => status === 200).length;
       const refused = responses.filter(({ status }) => status === 429);
@@ -179,7 +179,7 @@
         expect(Number(headers['retry-after'])).to.be.greaterThan(0);
         expect(text).to.contain('"code":2015').and.to.contain('not-run');
       }
-      const others = await Promise.all(Array.from({ length: 30 }, (_, i) => ask(i, 'pharmacy-key')));
+      const others = await Promise.all(Array.from({ length: 30 }, (_, i) => send(i, 'pharmacy-key')));
       expect(others.every(({ status }) => status === 200)).to.equal(true);
     });
 
@@ -226,7 +226,7 @@
       'no name': [{ apiKeys: ['dairy-key-1'] }],
     };
     for (const [defect, organisations] of Object.entries(refused)) {
-      it(`is rejected as a whole for ${defect}, with a result code and without exposing a key`, () => {
+      it(`is rejected completely for ${defect}, with a result code and without exposing a key`, () => {
         expect(decoding(organisations)).to.throw().with.property('result', 'configurationInvalid');
         try {
           decoding(organisations)();
@@ -269,7 +269,7 @@
       expect(keyring.organisationOf(digestOfKey('9999-3'))?.name).to.equal('o9999');
       const start = performance.now();
       const found = digests.filter(digest => keyring.organisationOf(digest) !== undefined);
-      expect(performance.now() - start).to.be.below(digests.length * TWO_MICROSECONDS_MS);
+      expect(performance.now() - start).to.be.below(digests.length * MAX_LOOKUP_MS);
       expect(found).to.have.lengthOf(digests.length);
     });
 
@@ -305,23 +305,24 @@
     });
     const limits = { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
     const routes = [route('confirm', 0), route('read', 2)];
-    const planned = (organisations: readonly Organisation[] | undefined) =>
+    const createRoutes = (organisations: readonly Organisation[] | undefined) =>
       new HostRoutes({ routes, services: [], limits, organisations }, () => 0.5);
 
     it('follows the organisation first, and the route among equal organisations', () => {
-      const plan = planned([organisationWithRank(0), organisationWithRank(3)]);
-      const rankOf = (name: number, rank: number) => plan.rankOf(routes[name]!, organisationWithRank(rank));
+      const hostRoutes = createRoutes([organisationWithRank(0), organisationWithRank(3)]);
+      const rankOf = (name: number, rank: number) =>
+        hostRoutes.rankOf(routes[name]!, organisationWithRank(rank));
       const inOrder = [rankOf(0, 0), rankOf(1, 0), rankOf(0, 3), rankOf(1, 3)];
       expect(inOrder).to.deep.equal([...inOrder].sort((a, b) => a - b));
       expect(new Set(inOrder).size).to.equal(4);
-      expect(plan.classes).to.be.greaterThan(Math.max(...inOrder));
+      expect(hostRoutes.classes).to.be.greaterThan(Math.max(...inOrder));
     });
 
     it('follows the route alone if organisations have no rank, or there are none', () => {
-      for (const plan of [planned(undefined), planned([organisationWithRank(undefined)])]) {
-        expect(plan.rankOf(routes[0]!, organisationWithRank(undefined))).to.equal(0);
-        expect(plan.rankOf(routes[1]!, undefined)).to.equal(2);
-        expect(plan.classes).to.equal(3);
+      for (const hostRoutes of [createRoutes(undefined), createRoutes([organisationWithRank(undefined)])]) {
+        expect(hostRoutes.rankOf(routes[0]!, organisationWithRank(undefined))).to.equal(0);
+        expect(hostRoutes.rankOf(routes[1]!, undefined)).to.equal(2);
+        expect(hostRoutes.classes).to.equal(3);
       }
     });
   });
--- a/tests/platformExplain.spec.ts
+++ b/tests/platformExplain.spec.ts
@@ -61,10 +61,10 @@
     await fleet.send(0, { id: 'deadly-1', path: '/deadly' });
     while ((await fleet.send(0)).status !== 200) await new Promise(resolve => setTimeout(resolve, 20));
     await fleet.send(1, { id: 'deadly-2', path: '/deadly' });
-    const ended =
+    const crashLine =
       /The upstream crashed while it ran the request\. {2}start=(\S+) running=1 fingerprint=([\da-f]{16})/;
-    const [, firstStart, first] = ended.exec(explain('deadly-1'))!;
-    const [, secondStart, second] = ended.exec(explain('deadly-2'))!;
+    const [, firstStart, first] = crashLine.exec(explain('deadly-1'))!;
+    const [, secondStart, second] = crashLine.exec(explain('deadly-2'))!;
     expect(second).to.equal(first);
     expect(secondStart).to.not.equal(firstStart);
     const line = fleet.logged.find(
--- a/tests/platformPath.spec.ts
+++ b/tests/platformPath.spec.ts
@@ -24,10 +24,10 @@
     it('gets the complete, unchanged response of the upstream through every daemon', async () => {
       await start();
       for (const node of fleet.nodes.keys()) {
-        const response = await fleet.send(node, { id: `whole-${String(node)}` });
+        const response = await fleet.send(node, { id: `complete-${String(node)}` });
         expect(response.status).to.equal(200);
         expect(response.headers['server-stamp']).to.match(/^i-/);
-        expect(response.text).to.match(new RegExp(`^whole-${String(node)} x{200}$`));
+        expect(response.text).to.match(new RegExp(`^complete-${String(node)} x{200}$`));
       }
     });
 
@@ -66,7 +66,7 @@
       expect(await stampOf({ path: '/xx/' })).to.not.equal('i-2');
     });
 
-    it('is distributed over a traffic split by weight', async () => {
+    it('is distributed by the weights of a traffic split', async () => {
       const trafficSplit = [
         { service: 'history', weight: 90 },
         { service: 'alarms', weight: 10 },
@@ -75,8 +75,8 @@
       expect(service).to.equal('history');
       await start([split]);
       for (let i = 0; i < 60; i++) await fleet.send(i % 3);
-      const share = fleet.nodes[2]!.upstream.receivedRequests.length / 60;
-      expect(share).to.be.within(0.03, 0.17);
+      const ratio = fleet.nodes[2]!.upstream.receivedRequests.length / 60;
+      expect(ratio).to.be.within(0.03, 0.17);
     });
 
     it('gets 404 without a route, and Retry-After before there is a configuration', async () => {
@@ -115,8 +115,8 @@
       expect((await fleet.send(0, { id: '' })).text).to.contain('"code":1008');
       expect((await fleet.send(0, { headers: { 'Deadline-Ms': 'soon' } })).text).to.contain('"code":1008');
       expect(await sendRaw('gibberish\r\n\r\n')).to.match(/^HTTP\/1.1 400/);
-      const twice = `POST /x HTTP/1.1\r\n${head}Request-Id: t\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabc`;
-      expect(await sendRaw(twice)).to.match(/^HTTP\/1.1 400/);
+      const twoLengths = `POST /x HTTP/1.1\r\n${head}Request-Id: t\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabc`;
+      expect(await sendRaw(twoLengths)).to.match(/^HTTP\/1.1 400/);
       expect(fleet.receivedRequests('t')).to.have.lengthOf(0);
     });
 
--- a/tests/platformProcess.spec.ts
+++ b/tests/platformProcess.spec.ts
@@ -17,7 +17,7 @@
   let callers: string;
   let readiness: string;
   let settings: Record<string, unknown>;
-  let errors: string;
+  let stderr: string;
 
   before(() => {
     execFileSync(process.execPath, ['utils/bundle.mjs']);
@@ -61,16 +61,16 @@
     await store[Symbol.asyncDispose]();
   });
 
-  const start = (given: unknown, target = 'target') => {
+  const start = (settingsFile: unknown, target = 'target') => {
     const path = join(mkdtempSync(join(tmpdir(), 'cleatquay-')), 'settings.json');
-    writeFileSync(path, JSON.stringify(given));
+    writeFileSync(path, JSON.stringify(settingsFile));
     const env = { ...process.env, CLEATQUAY_SETTINGS: path };
     daemon = spawn(process.execPath, [join(target, 'cleatquay.cjs')], {
       env,
       stdio: ['ignore', 'pipe', 'pipe'],
     });
-    errors = '';
-    daemon.stderr?.on('data', (chunk: Buffer) => (errors += chunk.toString()));
+    stderr = '';
+    daemon.stderr?.on('data', (chunk: Buffer) => (stderr += chunk.toString()));
   };
   /**
    * Connects from another loopback address: a client that connects to a port of its own address on which nobody listens
@@ -88,7 +88,7 @@
     });
   const untilReady = async () => {
     while (!(await isReady())) {
-      expect(daemon.exitCode, `the daemon exited before it was ready: ${errors}`).to.equal(null);
+      expect(daemon.exitCode, `the daemon exited before it was ready: ${stderr}`).to.equal(null);
       await new Promise(resolve => setTimeout(resolve, 20));
     }
     await upstream.announce();
@@ -113,14 +113,14 @@
     daemon.stdout?.resume();
     await untilReady();
     expect(await sendRequest('first')).to.equal(200);
-    const ended = once(daemon, 'exit');
+    const exited = once(daemon, 'exit');
     upstream.behaviour.workMs = 700;
     const last = sendRequest('last');
     while (upstream.receivedRequests.length < 2) await new Promise(resolve => setTimeout(resolve, 5));
     daemon.kill('SIGTERM');
     expect(await last).to.equal(200);
     expect(await isReady()).to.equal(false);
-    expect((await ended)[0]).to.equal(0);
+    expect((await exited)[0]).to.equal(0);
   });
 
   it('serves without deferred.cjs, the rarely used library code', async () => {
@@ -148,7 +148,7 @@
       await once(other, 'listening');
       start(settings);
       expect((await once(daemon, 'close'))[0]).to.equal(1);
-      expect(errors)
+      expect(stderr)
         .to.match(/^CQ6004 /)
         .and.to.contain(address);
       other.close();
@@ -158,6 +158,6 @@
   it('reports an invalid setting, and exits', async () => {
     start({ ...settings, bounds: { graceS: 'long' } });
     expect((await once(daemon, 'close'))[0]).to.equal(1);
-    expect(errors).to.match(/^CQ1001 bounds\.graceS: Expected a number, found "long"\./);
+    expect(stderr).to.match(/^CQ1001 bounds\.graceS: Expected a number, found "long"\./);
   });
 });
--- a/tests/platformReaders.spec.ts
+++ b/tests/platformReaders.spec.ts
@@ -21,10 +21,10 @@
   });
 
   const readersSeenBy = (self: string) => {
-    const heardAt = clock.now();
+    const lastReceivedAt = clock.now();
     const table = { get: (address: string) => members.get(address), all: () => members.values() };
     const aliveCount = () => members.size - 1;
-    const membership = { me: members.get(self)!, table, lastHeardAt: heardAt, aliveCount };
+    const membership = { me: members.get(self)!, table, lastHeardAt: lastReceivedAt, aliveCount };
     return new PlatformReaders(clock, membership as never, members.get(self)!.failureDomain);
   };
   const activeReaders = () =>
@@ -37,7 +37,7 @@
     expect(activeReaders()).to.have.length(2).and.to.include(before[1]!);
   });
 
-  it('selects others while the reads of these fail, and all fallback readers when the reads of all fail', () => {
+  it('selects others while the reads of these fail, and all readers and fallback readers when the reads of all fail', () => {
     const before = activeReaders();
     for (const address of before) members.get(address)!.isPlatformLost = true;
     expect(activeReaders()).to.have.length(2).and.to.not.include.members(before);
--- a/tests/quarantineOperators.spec.ts
+++ b/tests/quarantineOperators.spec.ts
@@ -39,8 +39,9 @@
     while ((await fleet.send(0)).status !== 200) await new Promise(resolve => setTimeout(resolve, 20));
   };
   const untilQuarantined = async (node: number) => {
-    const isQuarantined = /^cleatquay_held_requests 1$/m;
-    while (!isQuarantined.test(await metricsOf(node))) await new Promise(resolve => setTimeout(resolve, 20));
+    const quarantinedMetric = /^cleatquay_held_requests 1$/m;
+    while (!quarantinedMetric.test(await metricsOf(node)))
+      await new Promise(resolve => setTimeout(resolve, 20));
   };
   const metricsOf = async (node: number) => (await fetch(`http://${operatorAddressOf(node)}/metrics`)).text();
   const operatorAddressOf = (node: number) => fleet.nodes[node]!.daemon.membership.me.operatorAddress;
--- a/tests/quarantineSoak.spec.ts
+++ b/tests/quarantineSoak.spec.ts
@@ -11,13 +11,13 @@
 
 const ROUNDS = Number(process.env.CLEATQUAY_ROUNDS ?? 2);
 const SEED = process.env.CLEATQUAY_SEED ?? '1';
-const ROUND_LIMIT_MS = 60_000;
+const ROUND_TIMEOUT_MS = 60_000;
 /** Crashes after which a request is quarantined, and time until all daemons know this. */
 const QUARANTINE_CRASHES = 3;
 const PROPAGATION_MS = 3000;
 /** Attempts that are tolerated after that time. */
 const MAX_LATE_ATTEMPTS = 3;
-/** How long a daemon is regarded as affected after a fault ended. */
+/** How long a daemon counts as affected after the end of a fault. */
 const RECOVERY_MS = 3000;
 const MAX_FAULTS = 3;
 const MAX_GAP_MS = 700;
@@ -61,7 +61,7 @@
 
   const randomBelow = (count: number) => Math.floor(random() * count);
   const pick = <T>(list: readonly T[]): T => list[randomBelow(list.length)]!;
-  const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
+  const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
   const sendRequest = (path: string, id: string) => {
     const node = randomBelow(VMS.length);
     ingressNodes.set(id, node);
@@ -83,17 +83,17 @@
 
   /** Attempts between unaffected daemons after all of them should have quarantined the path. */
   const lateAttempts = (path: string) => {
-    const deadly = new Set([...ingressNodes.keys()].filter(id => id.startsWith(path)));
+    const deadlyIds = new Set([...ingressNodes.keys()].filter(id => id.startsWith(path)));
     const crashes = fleet.nodes
       .flatMap(({ upstream }) => upstream.crashes)
-      .filter(({ requestId }) => deadly.has(requestId))
+      .filter(({ requestId }) => deadlyIds.has(requestId))
       .map(({ at }) => at)
       .sort((a, b) => a - b);
     const propagatedAt = (crashes[QUARANTINE_CRASHES - 1] ?? Number.POSITIVE_INFINITY) + PROPAGATION_MS;
     return fleet.nodes.flatMap(({ upstream }, node) =>
       upstream.receivedRequests.filter(
         ({ requestId, at }) =>
-          deadly.has(requestId) &&
+          deadlyIds.has(requestId) &&
           at > propagatedAt &&
           !isAffected(node, at) &&
           !isAffected(ingressNodes.get(requestId) ?? 0, at),
@@ -111,11 +111,11 @@
   const sendQueryOfDeath = async (path: string, from: number) => {
     for (let i = 0; i < REQUESTS_PER_PHASE; i++) {
       void sendRequest(path, `${path}-${String(from + i)}`);
-      await pause(randomBelow(MAX_GAP_MS));
+      await sleep(randomBelow(MAX_GAP_MS));
     }
   };
 
-  const round = async (number: number): Promise<string> => {
+  const runRound = async (number: number): Promise<string> => {
     const path = `/deadly/${String(number)}`;
     let isStopped = false;
     const callers = Array.from({ length: CALLERS }, (_, caller) =>
@@ -125,7 +125,7 @@
     await sendQueryOfDeath(path, 0);
     await Promise.all(faults.map(stop => stop()));
     await sendQueryOfDeath(path, REQUESTS_PER_PHASE);
-    await pause(PROPAGATION_MS);
+    await sleep(PROPAGATION_MS);
     await sendQueryOfDeath(path, 2 * REQUESTS_PER_PHASE);
     isStopped = true;
     await Promise.all(callers);
@@ -133,10 +133,10 @@
   };
 
   it('are quarantined in time, and other requests are not', async function () {
-    this.timeout(ROUNDS * ROUND_LIMIT_MS);
+    this.timeout(ROUNDS * ROUND_TIMEOUT_MS);
     const quarantined: string[] = [];
     for (let done = 1; done <= ROUNDS; done++) {
-      const path = await round(done);
+      const path = await runRound(done);
       quarantined.push(`GET ${path}`);
       expect(lateAttempts(path).length, `round ${String(done)} of seed ${SEED}`).to.be.at.most(
         MAX_LATE_ATTEMPTS,
--- a/tests/queryOfDeath.spec.ts
+++ b/tests/queryOfDeath.spec.ts
@@ -54,7 +54,7 @@
 
   afterEach(() => fleet[Symbol.asyncDispose]());
 
-  const someNode = (): ProcessNode => fleet.nodes[Math.floor(random() * fleet.nodes.length)]!;
+  const randomNode = (): ProcessNode => fleet.nodes[Math.floor(random() * fleet.nodes.length)]!;
   const attempts = () =>
     fleet.nodes
       .flatMap(({ upstream }) => upstream.receivedRequests)
@@ -67,18 +67,18 @@
       .map(({ at }) => at)
       .sort((a, b) => a - b);
   const lateAttempts = () => {
-    const third = crashes()[QUARANTINE_CRASHES - 1] ?? Number.POSITIVE_INFINITY;
-    return attempts().filter(at => at > third + PROPAGATION_MS);
+    const thirdCrashAt = crashes()[QUARANTINE_CRASHES - 1] ?? Number.POSITIVE_INFINITY;
+    return attempts().filter(at => at > thirdCrashAt + PROPAGATION_MS);
   };
   const sendQueryOfDeath = (options: { host?: string; body?: string } = {}) =>
-    someNode().request({
+    randomNode().request({
       host: 'history.example',
       path: QUERY_OF_DEATH,
       id: `deadly-${String(queryCount++)}`,
       ...options,
     });
-  /** Repeats the query at random daemons, each time with another id. */
-  const repeatFor = async (ms: number, options: { host?: string; body?: string } = {}) => {
+  /** Sends the query of death to random daemons, each time with another id. */
+  const sendQueriesFor = async (ms: number, options: { host?: string; body?: string } = {}) => {
     const end = performance.now() + ms;
     const statuses: number[] = [];
     while (performance.now() < end) {
@@ -92,7 +92,9 @@
     const statuses: number[] = [];
     for (let i = 0; !isStopped(); i++) {
       const path = i % 2 === 0 ? '/popular' : `/own/${String(i)}`;
-      statuses.push(await someNode().request({ host: 'history.example', path, id: `beside-${String(i)}` }));
+      statuses.push(
+        await randomNode().request({ host: 'history.example', path, id: `harmless-${String(i)}` }),
+      );
       await sleep(LOAD_PAUSE_MS);
     }
     return statuses;
@@ -101,7 +103,7 @@
   it('is not sent to upstreams after three crashes, while other requests are served', async () => {
     let isStopped = false;
     const harmless = sendHarmless(() => isStopped);
-    const statuses = await repeatFor(20_000);
+    const statuses = await sendQueriesFor(20_000);
     isStopped = true;
     expect(crashes().length).to.be.at.least(QUARANTINE_CRASHES);
     expect(lateAttempts().length).to.be.at.most(MAX_LATE_ATTEMPTS);
@@ -119,7 +121,7 @@
       for (let i = 0; !isStopped; i++) {
         const path = `/own/${String(caller)}/${String(i)}`;
         const send = (attempt: string) =>
-          someNode().request({
+          randomNode().request({
             host: 'history.example',
             path,
             id: `${attempt}-${String(caller)}-${String(i)}`,
@@ -142,7 +144,7 @@
   });
 
   it('is not sent to upstreams after three crashes if it is not idempotent and has a body', async () => {
-    const statuses = await repeatFor(20_000, { host: 'once.example', body: 'deadly' });
+    const statuses = await sendQueriesFor(20_000, { host: 'once.example', body: 'deadly' });
     expect(crashes().length).to.be.at.least(QUARANTINE_CRASHES);
     expect(lateAttempts().length).to.be.at.most(MAX_LATE_ATTEMPTS);
     expect(statuses.at(-1)).to.equal(503);
@@ -160,7 +162,7 @@
     const before = attempts().length;
     let isStopped = false;
     const harmless = sendHarmless(() => isStopped);
-    await repeatFor(8000);
+    await sendQueriesFor(8000);
     isStopped = true;
     expect(attempts().length - before).to.equal(0);
     const others = await harmless;
--- a/tests/upstreamNoticeSoak.spec.ts
+++ b/tests/upstreamNoticeSoak.spec.ts
@@ -23,7 +23,7 @@
 const AWAY_MS = 300;
 
 const LIMITED_RATIO = 0.5;
-const LEAVING_RATIO = 0.3;
+const SHUTDOWN_RATIO = 0.3;
 const RATES = [0, 1, 4, 12, 20];
 
 /**
@@ -37,8 +37,8 @@
 const DRAIN_TIMEOUT_MS = 2000;
 /** Only requests from daemons that had forwarded such a response this long before count. */
 const NOTICE_MARGIN_MS = 500;
-/** A daemon counts as affected for this time after the end of a fault. */
-const AFFECTED_MS = 3000;
+/** How long a daemon counts as affected after the end of a fault. */
+const RECOVERY_MS = 3000;
 
 const VMS: ProcessVm[] = ['z1', 'z1', 'z1', 'z2', 'z2', 'z2'].map(failureDomain => ({
   service: 'history',
@@ -67,7 +67,7 @@
 /** What one upstream reports, and the faults of the daemon on its VM. */
 interface UpstreamHistory {
   readonly rateLimits: RateLimitSpan[];
-  readonly leavings: Span[];
+  readonly shutdowns: Span[];
   readonly faults: Span[];
 }
 
@@ -80,7 +80,7 @@
 
   beforeEach(async () => {
     random = seededRandom(`upstream notices ${SEED}`);
-    histories = VMS.map(() => ({ rateLimits: [], leavings: [], faults: [] }));
+    histories = VMS.map(() => ({ rateLimits: [], shutdowns: [], faults: [] }));
     fleet = await ProcessFleet.start(VMS, [routeTo('history')]);
     for (const { upstream } of fleet.nodes)
       Object.assign(upstream.behaviour, { workMs: WORK_MS, awayMs: AWAY_MS });
@@ -90,7 +90,7 @@
 
   const randomBelow = (count: number) => Math.floor(random() * count);
   const pick = <T>(list: readonly T[]): T => list[randomBelow(list.length)]!;
-  const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
+  const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
   const node = (index: number): ProcessNode => fleet.nodes[index]!;
   const open = (spans: Span[]) => spans.find(({ to }) => to === Number.POSITIVE_INFINITY);
   const close = (spans: Span[]) => {
@@ -107,42 +107,42 @@
     if (rate !== undefined) rateLimits.push({ ...begin(), rate });
   };
 
-  const startLeaving = (index: number) => {
+  const startShutdown = (index: number) => {
     node(index).upstream.behaviour.saysLeaving = true;
-    histories[index]!.leavings.push(begin());
+    histories[index]!.shutdowns.push(begin());
   };
 
-  /** Restarts the upstream. The new start reports nothing at first. */
+  /** Restarts the upstream. Its next process reports nothing at first. */
   const restartUpstream = async (index: number) => {
     const { upstream } = node(index);
-    const ended = upstream.end();
+    const restarted = upstream.end();
     Object.assign(upstream.behaviour, { saysLeaving: false, rateLimit: undefined });
     close(histories[index]!.rateLimits);
-    close(histories[index]!.leavings);
-    await ended;
+    close(histories[index]!.shutdowns);
+    await restarted;
   };
 
   const injectFault = (): (() => Promise<void>) => {
     const index = randomBelow(VMS.length);
     const fault = begin();
     histories[index]!.faults.push(fault);
-    const end = FAULTS[pick(Object.keys(FAULTS))]!(node(index));
+    const stop = FAULTS[pick(Object.keys(FAULTS))]!(node(index));
     return async () => {
-      await end();
-      fault.to = performance.now() + AFFECTED_MS;
+      await stop();
+      fault.to = performance.now() + RECOVERY_MS;
     };
   };
 
-  const round = async () => {
-    const leaving = VMS.map((_, index) => index).filter(() => random() < LEAVING_RATIO / 2);
+  const runRound = async () => {
+    const shuttingDown = VMS.map((_, index) => index).filter(() => random() < SHUTDOWN_RATIO / 2);
     VMS.forEach((_, index) => changeRateLimit(index));
-    leaving.forEach(startLeaving);
-    await pause(randomBelow(MAX_BEFORE_MS));
-    const ends = Array.from({ length: 1 + randomBelow(MAX_FAULTS) }, injectFault);
-    await pause(EFFECTIVE_AFTER_MS + randomBelow(MAX_AFTER_MS));
-    await Promise.all(ends.map(end => end()));
-    await pause(randomBelow(MAX_BEFORE_MS));
-    await Promise.all(leaving.map(restartUpstream));
+    shuttingDown.forEach(startShutdown);
+    await sleep(randomBelow(MAX_BEFORE_MS));
+    const stopFaults = Array.from({ length: 1 + randomBelow(MAX_FAULTS) }, injectFault);
+    await sleep(EFFECTIVE_AFTER_MS + randomBelow(MAX_AFTER_MS));
+    await Promise.all(stopFaults.map(stop => stop()));
+    await sleep(randomBelow(MAX_BEFORE_MS));
+    await Promise.all(shuttingDown.map(restartUpstream));
   };
 
   const isAffected = (index: number, from: number, to: number) =>
@@ -179,25 +179,25 @@
   };
 
   /** Requests sent by daemons too long after these forwarded the notice that the upstream is shutting down. */
-  const lateRequests = (index: number, leaving: Span, sent: Map<string, LoadRequest>): InformedRequest[] =>
-    fromInformedDaemons(index, leaving, sent).filter(
+  const lateRequests = (index: number, shutdown: Span, sent: Map<string, LoadRequest>): InformedRequest[] =>
+    fromInformedDaemons(index, shutdown, sent).filter(
       ({ sentAt, noticeAt }) => sentAt > noticeAt + DRAIN_TIMEOUT_MS,
     );
 
   it('get no more requests than they report, and none once they shut down', async function () {
     this.timeout(ROUNDS * ROUND_TIMEOUT_MS);
     const load = new SteadyLoad(fleet, { perSecond: REQUESTS_PER_SECOND, hosts: ['history.example'] });
-    for (let done = 0; done < ROUNDS; done++) await round();
+    for (let done = 0; done < ROUNDS; done++) await runRound();
     await load[Symbol.asyncDispose]();
     const sent = new Map(load.requests.map(request => [request.id, request]));
-    histories.forEach(({ rateLimits, leavings }, index) => {
-      const place = `at upstream ${String(index)}, seed ${SEED}`;
+    histories.forEach(({ rateLimits, shutdowns }, index) => {
+      const location = `at upstream ${String(index)}, seed ${SEED}`;
       for (const limitSpan of rateLimits)
-        expect(excess(index, limitSpan, sent), `above a limit ${place}`).to.equal(0);
-      for (const leaving of leavings)
+        expect(excess(index, limitSpan, sent), `above a limit ${location}`).to.equal(0);
+      for (const shutdown of shutdowns)
         expect(
-          lateRequests(index, leaving, sent),
-          `requests after the shutdown notice ${place}`,
+          lateRequests(index, shutdown, sent),
+          `requests after the shutdown notice ${location}`,
         ).to.deep.equal([]);
     });
     expect(load.requests.some(({ status }) => status === 200)).to.equal(true);
--- a/tests/upstreamNotices.spec.ts
+++ b/tests/upstreamNotices.spec.ts
@@ -51,20 +51,20 @@
     return outcomes;
   };
 
-  it('observes a rate limit, shows it in the command line, and fails no request', async () => {
+  it('of a rate limit are enforced and shown by the command line, and fail no request', async () => {
     const outcomes = await whileSending(async () => {
       await fleet.setBehaviour(reporting, { rateLimit: '5' });
       await sleep(EFFECTIVE_AFTER_MS);
       const before = runs();
       await sleep(MEASURED_MS);
-      // Tokens for half a second may have accumulated; some requests are in flight at both ends.
+      // Tokens for half a second may have accumulated; requests may be in flight at the beginning and at the end.
       expect(runs() - before).to.be.within(5, (5 * (MEASURED_MS + 500)) / 1000 + 2);
     });
     expect(outcomes.filter(outcome => outcome !== 'answered')).to.deep.equal([]);
     expect(status()).to.match(new RegExp(`${reporting.addresses.inner}.* 5 *$`, 'm'));
   });
 
-  it('observes a rate limit while the ingress daemon is repeatedly partitioned from the upstream and reconnected', async () => {
+  it('of a rate limit are enforced while the ingress daemon is repeatedly partitioned from the upstream and reconnected', async () => {
     await whileSending(async () => {
       await fleet.setBehaviour(reporting, { rateLimit: '5' });
       await sleep(EFFECTIVE_AFTER_MS);
@@ -79,7 +79,7 @@
     });
   });
 
-  it('sends nothing to an upstream that is shutting down while its announcements report ready, and fails no request', async () => {
+  it('of a shutdown drain the upstream although its announcements report ready, and fail no request', async () => {
     const outcomes = await whileSending(async () => {
       await fleet.setBehaviour(reporting, { saysLeaving: true });
       await sleep(EFFECTIVE_AFTER_MS);
