--- a/packages/admission/src/rateLimit.ts
+++ b/packages/admission/src/rateLimit.ts
@@ -33,7 +33,7 @@
   }
 
   /** Sets the rate that a response of the upstream reports. */
-  named(perSecond: number): void {
+  setRate(perSecond: number): void {
     this.hasResponded = true;
     this.rateReceivedAt = this.clock.awake();
     this.applyRate(perSecond);
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -3,7 +3,7 @@
 import { ConfigurationStore } from '@cleatquay/configuration';
 import { HttpStore } from '@cleatquay/store';
 import { type OperatorFile } from '@cleatquay/settings';
-import { type Effect, type StoreFaults, type UpstreamBehaviour, readLedger } from '@cleatquay/standins';
+import { type Execution, type StoreFaults, type UpstreamBehaviour, readLedger } from '@cleatquay/standins';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -150,7 +150,7 @@
   }
 
   /** Executions that an upstream recorded. */
-  ledger({ ledgerPath }: FleetNode): Effect[] {
+  ledger({ ledgerPath }: FleetNode): Execution[] {
     return readLedger(ledgerPath);
   }
 
--- a/packages/bench/src/mixedLoad.ts
+++ b/packages/bench/src/mixedLoad.ts
@@ -1,7 +1,7 @@
 /** Sends a mix of confirmations and reads with the caller library, and compares their outcomes with the ledgers. */
 import { Caller, type CallerResult } from '@cleatquay/caller';
 import { type Clock, type Random } from '@cleatquay/clock';
-import { type Effect } from '@cleatquay/standins';
+import { type Execution } from '@cleatquay/standins';
 import { type VariantResult } from './results.js';
 
 const CONFIRMATION_RATIO = 0.6;
@@ -61,7 +61,7 @@
 /** Compares the outcomes that callers saw with the ledgers of the upstreams. */
 export function toVariantResult(
   requests: readonly SentRequest[],
-  ledger: readonly Effect[],
+  ledger: readonly Execution[],
   seconds: number,
 ): VariantResult {
   const executions = new Map<string, { started: number; done: number }>();
--- a/packages/bench/src/results.ts
+++ b/packages/bench/src/results.ts
@@ -1,5 +1,5 @@
 /** Results of an experiment: figures for each variant, and violated invariants. */
-import { type Effect } from '@cleatquay/standins';
+import { type Execution } from '@cleatquay/standins';
 import { CLASSES, type ChainClass } from './chain.js';
 import { type Sample } from './openLoopLoad.js';
 
@@ -126,7 +126,7 @@
 }
 
 /** Compares the outcomes that callers saw with the ledgers of the first service. */
-export function compareWithLedger(samples: readonly Sample[], ledger: readonly Effect[]) {
+export function compareWithLedger(samples: readonly Sample[], ledger: readonly Execution[]) {
   const ran = new Set(ledger.map(effect => effect.requestId));
   const completedByToken = new Map<string, number>();
   const attemptsById = new Map<string, number>();
--- a/packages/calls/src/forwarder.ts
+++ b/packages/calls/src/forwarder.ts
@@ -50,7 +50,7 @@
   readonly router: Router;
   readonly peers: Peers;
   readonly retries: RetryBudget;
-  readonly journal: DecisionTrace;
+  readonly decisionTrace: DecisionTrace;
   readonly quarantine: Quarantine;
   /** ip:port of this daemon; calls to its local upstream take no network hop. */
   readonly self: string;
@@ -92,7 +92,7 @@
     body: ReplayableBody,
     signal: CancelSignal,
   ): Promise<CallResponse> {
-    const { clock, router, retries, freeReroutes, journal, quarantine } = this.options;
+    const { clock, router, retries, freeReroutes, decisionTrace: journal, quarantine } = this.options;
     const startedAt = clock.now();
     if (quarantine.loaded) await quarantine.loaded;
     const fingerprinted = new FingerprintedRequest(head, body);
@@ -176,7 +176,7 @@
 
   /** The refusal of a quarantined request. Fingerprints are computed only while there are suspects. */
   private refusalIfQuarantined(requestId: string, fingerprinted: FingerprintedRequest): Refusal | undefined {
-    const { quarantine, journal } = this.options;
+    const { quarantine, decisionTrace: journal } = this.options;
     if (quarantine.isEmpty) return undefined;
     const { fingerprint } = fingerprinted;
     if (quarantine.statusOf(fingerprint) !== 'held') return undefined;
@@ -210,7 +210,7 @@
       const isConnectionLost = error instanceof ConnectionLoss;
       finish(isConnectionLost && !timeLimit.signal.aborted ? 'unreachable' : 'failed');
       if (!isConnectionLost) throw error;
-      this.options.journal.record(
+      this.options.decisionTrace.record(
         attempt.context.requestId,
         'The connection to the daemon of the upstream was lost.',
         {
@@ -285,7 +285,7 @@
 
   /** Sends seal requests until one has a definite response or the signal aborts. */
   private async seal(attempt: Attempt, signal: CancelSignal): Promise<SealAnswer | undefined> {
-    const { peers, clock, journal } = this.options;
+    const { peers, clock, decisionTrace: journal } = this.options;
     const { requestId, try: attemptNumber, targetEpoch } = attempt.context;
     while (!signal.aborted) {
       const request = { requestId, try: attemptNumber, targetEpoch, waitMs: SEAL_TIMEOUT_MS / 2 };
--- a/packages/calls/src/ingress.ts
+++ b/packages/calls/src/ingress.ts
@@ -76,7 +76,7 @@
   readonly ids: RequestIdIssuer;
   readonly idempotencyKeys: IdempotencyKeys;
   readonly running: RunningCalls;
-  readonly journal: DecisionTrace;
+  readonly decisionTrace: DecisionTrace;
   readonly authenticator: Authenticator;
   readonly quotaGate: QuotaGate;
 }
@@ -362,7 +362,7 @@
       yield* responseParts(this.options.peers.exchange(home, head, await call.body.read(), call.signal));
     } catch (error) {
       if (!(error instanceof ConnectionLoss)) throw error;
-      this.options.journal.record(context.requestId, `The home daemon ${home} is unreachable.`);
+      this.options.decisionTrace.record(context.requestId, `The home daemon ${home} is unreachable.`);
       yield* this.searchResponse(
         call,
         createRefusal('homeUnreachable', 'The daemon that issued the id is unreachable.'),
@@ -406,7 +406,7 @@
       requestId,
       try: 1,
       rootId: requestId,
-      class: this.options.graph()?.rankOf(route, organisation) ?? route.rank,
+      class: this.options.graph()?.classOf(route, organisation) ?? route.rank,
       remainingMs: Math.min(route.timeoutMs, timeoutMs ?? route.timeoutMs),
       retryTokens: this.options.graph()?.file.retryBudget ?? 0,
       depth: 0,
--- a/packages/calls/src/quotaGate.ts
+++ b/packages/calls/src/quotaGate.ts
@@ -20,7 +20,7 @@
 /** Dependencies on the daemon. */
 export interface QuotaGateOptions {
   readonly clock: Clock;
-  readonly journal: DecisionTrace;
+  readonly decisionTrace: DecisionTrace;
   readonly quotas: () => Pick<Quotas, 'acquire' | 'refund'>;
   readonly counts: OrganisationCounts;
   /** Age of the freshness proof of the active configuration, ms. */
@@ -74,7 +74,7 @@
     quota: Quota,
     decision: Exclude<QuotaDecision, { kind: 'taken' }>,
   ): CallResponse {
-    const { journal } = this.options;
+    const { decisionTrace: journal } = this.options;
     const facts = { ...this.factsOf(organisation), ...quota, ...decision };
     journal.record(requestId, 'Refused: no token of the quota of its organisation was acquired.', facts);
     const response = singlePartResponse(refusalPart(refusalFor(organisation, decision), retryTokens));
--- a/packages/calls/src/relay.ts
+++ b/packages/calls/src/relay.ts
@@ -54,7 +54,7 @@
   readonly routes: () => HostRoutes | undefined;
   /** The version of the active configuration. */
   readonly configuration: { readonly generation: number; readonly digest: string };
-  readonly journal: DecisionTrace;
+  readonly decisionTrace: DecisionTrace;
   readonly forwarder: Pick<Forwarder, 'forward'>;
   /** Service of the local upstream. */
   readonly originService: string;
@@ -93,7 +93,7 @@
     });
     if ('code' in principal) return this.refuseUnauthenticated(request, principal);
     const { organisation } = principal;
-    const rank = routes.rankOf(route, organisation);
+    const rank = routes.classOf(route, organisation);
     const context = this.context(request, { ...route, rank }, parent, organisation);
     const isRefused =
       !parent && strictRequestLevel(context.class, context.rootId) >= this.options.pressureLevel();
@@ -108,7 +108,7 @@
 
   /** The credentials are not recorded. */
   private refuseUnauthenticated({ requestId, host, path }: RelayedRequest, refusal: Refusal): CallResponse {
-    const { journal } = this.options;
+    const { decisionTrace: journal } = this.options;
     journal.record(requestId, 'Taken.', { host, path });
     const response = singlePartResponse(refusalPart(refusal, 0));
     recordOutcome(journal, requestId, response, 0);
@@ -116,7 +116,7 @@
   }
 
   private refuseForPressure({ requestId, class: rank }: CallContext): CallResponse {
-    const { journal, random } = this.options;
+    const { decisionTrace: journal, random } = this.options;
     journal.record(requestId, 'Refused at once: the daemon lacks processor time.', { class: rank });
     const refusal = createRefusal('overloaded', 'The daemon lacks processor time.', {
       retryAfterMs: Math.round(PRESSURE_RETRY_AFTER_MS * (0.5 + random())),
@@ -130,7 +130,7 @@
    */
   private refuseForShutdown({ requestId, remainingMs }: CallContext): CallResponse {
     const timeLeftMs = Math.round(this.options.timeLeftMs());
-    this.options.journal.record(
+    this.options.decisionTrace.record(
       requestId,
       'Refused: the daemon shuts down before the request could time out.',
       { remainingMs, timeLeftMs },
@@ -146,7 +146,7 @@
     routes: HostRoutes | undefined,
     route: HostRoute | undefined,
   ): CallResponse {
-    const { journal, configuration } = this.options;
+    const { decisionTrace: journal, configuration } = this.options;
     const { generation, digest } = configuration;
     journal.record(requestId, 'Taken.', { host, path, generation, digest });
     const response = singlePartResponse(refusalPart(this.unroutable(routes, route), 0));
@@ -172,7 +172,7 @@
     body: ReplayableBody,
     signal: CancelSignal,
   ): Promise<CallResponse> {
-    const { clock, forwarder, journal, quotaGate } = this.options;
+    const { clock, forwarder, decisionTrace: journal, quotaGate } = this.options;
     const startedAt = clock.now();
     journal.record(context.requestId, 'Taken.', {
       route: route.name,
--- a/packages/calls/src/upstreamDispatcher.ts
+++ b/packages/calls/src/upstreamDispatcher.ts
@@ -78,9 +78,9 @@
   readonly downstreamLevel: (route: CallRoute) => number;
   readonly attempts: AttemptRegistry;
   readonly running: RunningCalls;
-  readonly ends: CrashDetector;
+  readonly crashDetector: CrashDetector;
   readonly quarantine: Quarantine;
-  readonly journal: DecisionTrace;
+  readonly decisionTrace: DecisionTrace;
 }
 
 /** Serves calls for the local upstreams. */
@@ -132,7 +132,7 @@
   }
 
   private refuseQuarantined({ head, body, context: { requestId, retryTokens } }: IncomingCall): CallResponse {
-    const { journal, quarantine } = this.options;
+    const { decisionTrace: journal, quarantine } = this.options;
     journal.record(
       requestId,
       'Quarantined at the daemon of the upstream: other upstreams crashed while they ran it.',
@@ -184,7 +184,7 @@
     upstream: LocalUpstream,
     signal: CancelSignal,
   ): Promise<Permit | Refusal> {
-    const { attempts, journal } = this.options;
+    const { attempts, decisionTrace: journal } = this.options;
     const { requestId } = context;
     const barredRefusal = route.idempotent ? undefined : attempts.register(requestId, context.try);
     if (barredRefusal) return barredRefusal;
@@ -213,7 +213,7 @@
   }
 
   private async run(admitted: AdmittedCall, signal: CancelSignal): Promise<CallResponse> {
-    const { clock, running, journal } = this.options;
+    const { clock, running, decisionTrace: journal } = this.options;
     const { context, route, upstream, permit } = admitted;
     const startedAt = clock.now();
     journal.record(context.requestId, 'Given to the upstream.', {
@@ -345,7 +345,7 @@
       finish();
       // A seal request then reports that the attempt ended and its response is lost, since it was too long to be stored.
       if (!route.idempotent) this.options.attempts.markEnded(context.requestId, undefined);
-      this.options.journal.record(context.requestId, 'A long response ended.', { isWhole: isComplete });
+      this.options.decisionTrace.record(context.requestId, 'A long response ended.', { isWhole: isComplete });
     }
   }
 
@@ -360,12 +360,13 @@
     const isCancelled = signal.aborted;
     if (!isCancelled) upstream.connections.suspendReuse();
     const result: ResultName = isCancelled ? 'deadlinePassed' : 'upstreamBroke';
-    const { journal } = this.options;
+    const { decisionTrace: journal } = this.options;
     journal.record(context.requestId, 'The upstream sent no complete response.', {
       why: message ?? 'unknown',
     });
     const isMismatch = error instanceof ResponseMismatch;
-    const crash = isCancelled || isMismatch ? undefined : await this.options.ends.checkForCrash(upstream);
+    const crash =
+      isCancelled || isMismatch ? undefined : await this.options.crashDetector.checkForCrash(upstream);
     if (crash) this.recordCrash(context.requestId, crash, admitted);
     journal.requestEnded(context.requestId, true);
     if (isCancelled)
@@ -391,7 +392,7 @@
   ): void {
     const fingerprint = receivedFingerprint(head, body) ?? 'unknown';
     const facts = { start, running: requests.length, fingerprint };
-    this.options.journal.record(requestId, 'The upstream crashed while it ran the request.', facts);
+    this.options.decisionTrace.record(requestId, 'The upstream crashed while it ran the request.', facts);
   }
 
   /** The load that is reported to the sender. For root requests of expensive routes, the admission level is lower than that of the queue. */
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -215,7 +215,7 @@
       ids: new RequestIdIssuer(clock, core.self, epoch),
       idempotencyKeys: new IdempotencyKeys(clock, this.store),
       running: core.running,
-      journal: core.decisionTrace,
+      decisionTrace: core.decisionTrace,
       authenticator: this.organisations.authenticator,
       quotaGate: this.organisations.createQuotaGate(core.decisionTrace),
     });
--- a/packages/daemon/src/daemonCore.ts
+++ b/packages/daemon/src/daemonCore.ts
@@ -198,9 +198,13 @@
       downstreamLevel: route => this.downstreamLevel(route),
       attempts: this.attempts,
       running: this.running,
-      ends: new CrashDetector({ clock, running: this.running, onCrash: crash => this.onCrash(crash) }),
+      crashDetector: new CrashDetector({
+        clock,
+        running: this.running,
+        onCrash: crash => this.onCrash(crash),
+      }),
       quarantine: this.quarantine,
-      journal: this.decisionTrace,
+      decisionTrace: this.decisionTrace,
     });
     this.forwarder = new Forwarder({
       clock,
@@ -211,7 +215,7 @@
       freeReroutes: options.freeReroutes,
       signalsEnforceDeadline: options.signalsEnforceDeadline,
       quarantine: this.quarantine,
-      journal: this.decisionTrace,
+      decisionTrace: this.decisionTrace,
       self,
       local: (head, body, signal) => this.upstreamDispatcher.handle(head, body, signal),
     });
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -315,7 +315,7 @@
       clock,
       routes: () => this.configuration.active,
       configuration: this.configuration,
-      journal: this.core.decisionTrace,
+      decisionTrace: this.core.decisionTrace,
       forwarder: this.core.forwarder,
       originService: settings.service,
       running: this.core.running,
--- a/packages/daemon/src/slowRateProbe.ts
+++ b/packages/daemon/src/slowRateProbe.ts
@@ -51,7 +51,7 @@
         .then(notice => ({ notice }))
         .catch(() => undefined));
     const rateLimit = response ? response.notice?.rateLimit : undefined;
-    if (typeof rateLimit === 'number') rate.named(rateLimit);
+    if (typeof rateLimit === 'number') rate.setRate(rateLimit);
     else if (response) rate.allowProbe();
     this.isScheduled = false;
     this.schedule();
--- a/packages/daemon/src/upstreams.ts
+++ b/packages/daemon/src/upstreams.ts
@@ -298,7 +298,7 @@
     this.counts.answers++;
     if (typeof rateLimit === 'number') {
       this.counts.withRateLimit++;
-      rate.named(rateLimit);
+      rate.setRate(rateLimit);
       upstream.slowRateProbe.schedule();
     } else if (rateLimit === 'none') rate.onRateAbsent(sentAt);
     upstream.noticeLog.update(notice, { service, instanceId });
--- a/packages/quarantine/src/quarantine.ts
+++ b/packages/quarantine/src/quarantine.ts
@@ -231,7 +231,8 @@
     const isNew = this.crashes.add(start, fingerprints);
     if (!isNew) return false;
     this.attributeToQuarantined(start, fingerprints);
-    for (const completed of this.responses.answeredAmong(fingerprints)) this.clearFromKnownCrashes(completed);
+    for (const completed of this.responses.completedAmong(fingerprints))
+      this.clearFromKnownCrashes(completed);
     this.scheduleDecision();
     return true;
   }
--- a/packages/quarantine/src/recentResponses.ts
+++ b/packages/quarantine/src/recentResponses.ts
@@ -34,7 +34,7 @@
   }
 
   /** Filters the fingerprints by whether their requests were answered recently. */
-  answeredAmong(fingerprints: readonly string[]): string[] {
+  completedAmong(fingerprints: readonly string[]): string[] {
     if (fingerprints.length === 0) return [];
     const oldest = this.clock.now() - VALID_FOR_MS;
     const answered = new Set<string>();
--- a/packages/routes/src/hostRoutes.ts
+++ b/packages/routes/src/hostRoutes.ts
@@ -63,7 +63,7 @@
   }
 
   /** Priority class of a request; 0 is the highest priority. */
-  rankOf(route: HostRoute, organisation: Organisation | undefined): number {
+  classOf(route: HostRoute, organisation: Organisation | undefined): number {
     return this.priorityClasses.classOf(route.rank, organisation?.rank);
   }
 
--- a/packages/settings/src/callGraph.ts
+++ b/packages/settings/src/callGraph.ts
@@ -57,7 +57,7 @@
   }
 
   /** Index of the priority class of a request on the route; 0 has the highest priority. */
-  rankOf(route: Route, organisation: Organisation | undefined): number {
+  classOf(route: Route, organisation: Organisation | undefined): number {
     return this.priorityClasses.classOf(route.rank, organisation?.rank);
   }
 
--- a/packages/standins/src/ledger.ts
+++ b/packages/standins/src/ledger.ts
@@ -2,7 +2,7 @@
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
 
 /** One execution of a request. */
-export interface Effect {
+export interface Execution {
   /** Identifies the request at its caller; from the `x-token` header. */
   readonly token: string;
   readonly route: string;
@@ -11,7 +11,7 @@
   readonly done: boolean;
 }
 
-type LedgerLine = Omit<Effect, 'done'> & { readonly run: number; readonly event: 'started' | 'done' };
+type LedgerLine = Omit<Execution, 'done'> & { readonly run: number; readonly event: 'started' | 'done' };
 
 /** Appends to a ledger file, or discards everything if there is none. */
 export class Ledger {
@@ -20,7 +20,7 @@
   constructor(private readonly path: string | undefined) {}
 
   /** Records the start of an execution; the returned function records its effect. */
-  started(run: Omit<Effect, 'done'>): () => void {
+  started(run: Omit<Execution, 'done'>): () => void {
     const number = ++this.runs;
     this.write({ ...run, run: number, event: 'started' });
     return () => this.write({ ...run, run: number, event: 'done' });
@@ -32,14 +32,14 @@
 }
 
 /** Reads the executions in a ledger file; ignores a last line that was truncated when the process was killed. */
-export function readLedger(path: string): Effect[] {
+export function readLedger(path: string): Execution[] {
   if (!existsSync(path)) return [];
   const text = readFileSync(path, 'utf8');
   const lines = text
     .slice(0, text.lastIndexOf('\n') + 1)
     .split('\n')
     .filter(line => line !== '');
-  const runs = new Map<number, Effect>();
+  const runs = new Map<number, Execution>();
   for (const line of lines) {
     const { run, event, token, route, requestId } = JSON.parse(line) as LedgerLine;
     runs.set(run, { token, route, requestId, done: event === 'done' });
--- a/tests/disconnectedCallers.spec.ts
+++ b/tests/disconnectedCallers.spec.ts
@@ -24,7 +24,7 @@
 import { expect } from 'chai';
 import { once } from 'node:events';
 import { type AddressInfo } from 'node:net';
-import { DisconnectingCallers } from './fixtures/departingCallers.js';
+import { DisconnectingCallers } from './fixtures/disconnectingCallers.js';
 import { PlatformFleet, routeTo } from './fixtures/platformFleet.js';
 
 /** Time between a caller's request and its disconnect, ms. */
--- a/tests/freshness.spec.ts
+++ b/tests/freshness.spec.ts
@@ -1,7 +1,7 @@
 import { type Clock, ManualClock } from '@cleatquay/clock';
 import { Freshness } from '@cleatquay/configuration';
 import { expect } from 'chai';
-import { type Mistake, search } from './fixtures/freshnessModel.js';
+import { type Mistake, searchHistories } from './fixtures/freshnessModel.js';
 
 const MAX_STEPS = 7;
 const MAX_STEPS_WITH_MISTAKE = 9;
@@ -94,7 +94,7 @@
 
   describe('in all histories of changes, reads, requests, suspensions and restarts', () => {
     it('accepts no key for longer than the limit after its revocation', () => {
-      const { broken, states } = search('none', MAX_STEPS);
+      const { broken, states } = searchHistories('none', MAX_STEPS);
       expect(broken).to.equal(undefined);
       expect(states).to.be.greaterThan(20_000);
     });
@@ -108,7 +108,7 @@
     ];
     for (const mistake of mistakes) {
       it(`would find a violation if ${mistake.replaceAll('-', ' ')}`, () => {
-        expect(search(mistake, MAX_STEPS_WITH_MISTAKE).broken).to.not.equal(undefined);
+        expect(searchHistories(mistake, MAX_STEPS_WITH_MISTAKE).broken).to.not.equal(undefined);
       });
     }
   });
--- a/tests/organisationFile.spec.ts
+++ b/tests/organisationFile.spec.ts
@@ -43,9 +43,9 @@
     const { dairy, pharmacy } = Object.fromEntries(
       graph.keyring!.organisations.map(organisation => [organisation.name, organisation]),
     );
-    expect(graph.rankOf(read, dairy)).to.be.below(graph.rankOf(read, pharmacy));
-    expect(graph.rankOf(confirm, dairy)).to.be.below(graph.rankOf(read, dairy));
-    expect(graph.rankOf(read, pharmacy)).to.be.below(graph.classes);
+    expect(graph.classOf(read, dairy)).to.be.below(graph.classOf(read, pharmacy));
+    expect(graph.classOf(confirm, dairy)).to.be.below(graph.classOf(read, dairy));
+    expect(graph.classOf(read, pharmacy)).to.be.below(graph.classes);
   });
 
   const refused: Record<string, object> = {
--- a/tests/organisations.spec.ts
+++ b/tests/organisations.spec.ts
@@ -311,7 +311,7 @@
     it('follows the organisation first, and the route among equal organisations', () => {
       const hostRoutes = createRoutes([organisationWithRank(0), organisationWithRank(3)]);
       const rankOf = (name: number, rank: number) =>
-        hostRoutes.rankOf(routes[name]!, organisationWithRank(rank));
+        hostRoutes.classOf(routes[name]!, organisationWithRank(rank));
       const inOrder = [rankOf(0, 0), rankOf(1, 0), rankOf(0, 3), rankOf(1, 3)];
       expect(inOrder).to.deep.equal([...inOrder].sort((a, b) => a - b));
       expect(new Set(inOrder).size).to.equal(4);
@@ -320,8 +320,8 @@
 
     it('follows the route alone if organisations have no rank, or there are none', () => {
       for (const hostRoutes of [createRoutes(undefined), createRoutes([organisationWithRank(undefined)])]) {
-        expect(hostRoutes.rankOf(routes[0]!, organisationWithRank(undefined))).to.equal(0);
-        expect(hostRoutes.rankOf(routes[1]!, undefined)).to.equal(2);
+        expect(hostRoutes.classOf(routes[0]!, organisationWithRank(undefined))).to.equal(0);
+        expect(hostRoutes.classOf(routes[1]!, undefined)).to.equal(2);
         expect(hostRoutes.classes).to.equal(3);
       }
     });
--- a/tests/platformLifetimes.spec.ts
+++ b/tests/platformLifetimes.spec.ts
@@ -95,7 +95,7 @@
     fleet.store.put('daemons', 'junk', 'no JSON');
     const added = await fleet.add({ service: 'history' }, 'i-2');
     await until(() => added.daemon.isReady);
-    await fleet.settle();
+    await fleet.waitUntilConverged();
     expect(fleet.logged.map(({ msg }) => msg)).to.include('Meeting: Skipped an invalid row.');
   });
 
@@ -104,7 +104,7 @@
     fleet.store.remove('daemons', address);
     const added = await fleet.add({ service: 'history' }, 'i-2');
     await until(() => added.daemon.isReady);
-    await fleet.settle();
+    await fleet.waitUntilConverged();
     expect((await distinctStamps(40)).size).to.equal(3);
   });
 });
--- a/tests/platformResponses.spec.ts
+++ b/tests/platformResponses.spec.ts
@@ -29,7 +29,7 @@
   after(() => fleet[Symbol.asyncDispose]());
 
   // An upstream at whose address another instance responded gets no requests until its next announcement.
-  beforeEach(() => fleet.settle());
+  beforeEach(() => fleet.waitUntilConverged());
 
   const setFaults = (faultOf: (requestId: string) => UpstreamFault) => {
     for (const { upstream } of fleet.nodes) upstream.behaviour.fault = faultOf;
--- a/tests/quarantine.spec.ts
+++ b/tests/quarantine.spec.ts
@@ -38,7 +38,7 @@
   const all = (status: string) => fleet.daemons.map(() => status);
   const crashThree = async (fingerprints: readonly string[]) => {
     for (const at of [0, 1, 2]) await fleet.crash(at, `u${String(at)}@1`, fingerprints);
-    await fleet.pass(DECISION_MS);
+    await fleet.advance(DECISION_MS);
   };
   const recordResponse = (at: number, fingerprint: string) =>
     fleet.daemons[at]!.recordResponse({ ...HEAD, path: `/${fingerprint}` }, EMPTY, () => fingerprint);
@@ -52,7 +52,7 @@
       await fleet.crash(2, 'u2@1', [DEADLY]);
       expect(fleet.statuses(DEADLY)).to.deep.equal(all('held'));
       expect(fleet.daemons[3]!.retryAfterMs(DEADLY)).to.equal(500);
-      await fleet.pass(DECISION_MS);
+      await fleet.advance(DECISION_MS);
       expect(fleet.daemons[3]!.retryAfterMs(DEADLY)).to.equal(60_000);
     });
 
@@ -66,7 +66,7 @@
     it('at the first crash in a partition that learns of three crashes from the table only', async () => {
       fleet.partitioned.add(3);
       await crashThree([DEADLY]);
-      await fleet.pass(TABLE_SYNC_MS);
+      await fleet.advance(TABLE_SYNC_MS);
       expect(fleet.statuses(DEADLY)[3]).to.equal('free');
       await fleet.crash(3, 'u3@1', [DEADLY]);
       expect(fleet.statuses(DEADLY)).to.deep.equal(all('held'));
@@ -76,7 +76,7 @@
       fleet.partitioned.add(3);
       await fleet.crash(0, 'u0@1', [DEADLY]);
       await fleet.crash(1, 'u1@1', [DEADLY]);
-      await fleet.pass(TABLE_SYNC_MS);
+      await fleet.advance(TABLE_SYNC_MS);
       await fleet.crash(3, 'u3@1', [DEADLY]);
       expect(fleet.statuses(DEADLY)[3]).to.equal('held');
     });
@@ -102,7 +102,7 @@
       await fleet.crash(1, 'u1@1', [HARMLESS]);
       recordResponse(3, HARMLESS);
       await fleet.crash(2, 'u2@1', [HARMLESS]);
-      await fleet.pass(DECISION_MS);
+      await fleet.advance(DECISION_MS);
       expect(fleet.statuses(HARMLESS)).to.deep.equal(all('suspect'));
     });
 
@@ -124,7 +124,7 @@
       await fleet.crash(0, 'u0@1', [DEADLY, HARMLESS]);
       await fleet.crash(1, 'u1@1', [DEADLY, HARMLESS]);
       await fleet.crash(2, 'u2@1', [DEADLY]);
-      await fleet.pass(DECISION_MS);
+      await fleet.advance(DECISION_MS);
       expect(fleet.statuses(DEADLY)).to.deep.equal(all('held'));
       await fleet.crash(3, 'u3@1', [HARMLESS]);
       expect(fleet.statuses(HARMLESS)).to.deep.equal(all('suspect'));
@@ -135,7 +135,7 @@
       for (let i = 0; i < LATER_CRASHES; i++)
         await fleet.crash(i % DAEMONS, `later${String(i)}@1`, [DEADLY, HARMLESS]);
       expect(fleet.statuses(HARMLESS)).to.deep.equal(all('free'));
-      await fleet.pass(TABLE_SYNC_MS);
+      await fleet.advance(TABLE_SYNC_MS);
       await fleet.restartAll();
       expect(fleet.statuses(DEADLY)).to.deep.equal(all('held'));
       expect(fleet.statuses(HARMLESS)).to.deep.equal(all('free'));
@@ -145,7 +145,7 @@
       for (let i = 0; i < LATER_CRASHES; i++)
         await fleet.crash(i % DAEMONS, `many${String(i)}@1`, [DEADLY, HARMLESS]);
       recordResponse(3, HARMLESS);
-      await fleet.pass(TABLE_SYNC_MS);
+      await fleet.advance(TABLE_SYNC_MS);
       await fleet.restartAll();
       expect(fleet.statuses(DEADLY)).to.deep.equal(all('held'));
       expect(fleet.statuses(HARMLESS)).to.deep.equal(all('free'));
@@ -212,9 +212,9 @@
     const responses = new RecentResponses(clock);
     const fingerprint = fingerprintOf(HEAD, EMPTY);
     responses.add(HEAD, EMPTY);
-    expect(responses.answeredAmong([fingerprint, DEADLY])).to.deep.equal([fingerprint]);
+    expect(responses.completedAmong([fingerprint, DEADLY])).to.deep.equal([fingerprint]);
     clock.advance(10_001);
-    expect(responses.answeredAmong([fingerprint])).to.deep.equal([]);
+    expect(responses.completedAmong([fingerprint])).to.deep.equal([]);
   });
 });
 
--- a/tests/quarantineOperators.spec.ts
+++ b/tests/quarantineOperators.spec.ts
@@ -123,7 +123,7 @@
   beforeEach(async () => {
     fleet = await PlatformFleet.start([], [routeTo('history')]);
     for (const name of ['a', 'b', 'c']) await fleet.add({ service: 'history' }, name.repeat(MAX_NAME_CHARS));
-    await fleet.settle();
+    await fleet.waitUntilConverged();
     for (const { upstream } of fleet.nodes)
       upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'end' : 'none');
   });
--- a/tests/queryOfDeath.spec.ts
+++ b/tests/queryOfDeath.spec.ts
@@ -157,7 +157,7 @@
     }
     await sleep(PROPAGATION_MS);
     await Promise.all(fleet.nodes.map(node => node.restart()));
-    await fleet.settle();
+    await fleet.waitUntilConverged();
     await fleet.waitForLowLag();
     const before = attempts().length;
     let isStopped = false;
--- a/tests/quotas.spec.ts
+++ b/tests/quotas.spec.ts
@@ -22,42 +22,42 @@
   describe('an organisation that sends five times its quota', () => {
     it('gets its quota and no more in any window', async () => {
       using fleet = simulation('hot');
-      await fleet.pass(3000, 0, () => fleet.anyNode());
-      await fleet.pass(12_000, 200, () => fleet.anyNode());
+      await fleet.advance(3000, 0, () => fleet.pickAnyNode());
+      await fleet.advance(12_000, 200, () => fleet.pickAnyNode());
       expect(fleet.maxInWindow).to.be.at.most(allowedInWindow(QUOTA));
       expect(fleet.runs.length).to.be.at.least(12 * QUOTA.perSecond);
     });
 
     it('gets no more in a network partition, and is served on both sides', async () => {
       using fleet = simulation('cut');
-      await fleet.pass(3000, 0, () => fleet.anyNode());
-      await fleet.pass(3000, 200, () => fleet.anyNode());
+      await fleet.advance(3000, 0, () => fleet.pickAnyNode());
+      await fleet.advance(3000, 200, () => fleet.pickAnyNode());
       const half = new Set(fleet.nodes.filter((_, i) => i % 2 === 0));
-      fleet.path = (a, b) => half.has(a) === half.has(b);
+      fleet.isConnected = (a, b) => half.has(a) === half.has(b);
       const before = fleet.runs.length;
-      await fleet.pass(8000, 200, () => fleet.anyNode());
+      await fleet.advance(8000, 200, () => fleet.pickAnyNode());
       expect(fleet.runs.length - before).to.be.at.least(6 * QUOTA.perSecond);
-      fleet.path = () => true;
-      await fleet.pass(6000, 200, () => fleet.anyNode());
+      fleet.isConnected = () => true;
+      await fleet.advance(6000, 200, () => fleet.pickAnyNode());
       expect(fleet.maxInWindow).to.be.at.most(allowedInWindow(QUOTA));
     });
 
     it('gets no more when daemons restart, one by one or all at once', async () => {
       using fleet = simulation('restarts');
-      await fleet.pass(3000, 0, () => fleet.anyNode());
+      await fleet.advance(3000, 0, () => fleet.pickAnyNode());
       for (let round = 0; round < 12; round++) {
         for (const node of fleet.nodes) if (round % 3 === 2 || fleet.random() < 0.3) fleet.restart(node);
-        await fleet.pass(700, 200, () => fleet.anyNode());
+        await fleet.advance(700, 200, () => fleet.pickAnyNode());
       }
       expect(fleet.maxInWindow).to.be.at.most(allowedInWindow(QUOTA));
     });
 
     it('gets no more from VMs that are suspended and resumed with their state', async () => {
       using fleet = simulation('sleeps');
-      await fleet.pass(3000, 0, () => fleet.anyNode());
+      await fleet.advance(3000, 0, () => fleet.pickAnyNode());
       for (let round = 0; round < 10; round++) {
         for (const node of fleet.nodes) if (fleet.random() < 0.3) fleet.suspend(node, 2000);
-        await fleet.pass(1500, 200, () => fleet.anyNode());
+        await fleet.advance(1500, 200, () => fleet.pickAnyNode());
       }
       expect(fleet.maxInWindow).to.be.at.most(allowedInWindow(QUOTA));
     });
@@ -65,24 +65,24 @@
     it('is limited to a lower quota one window after that became active', async () => {
       using fleet = simulation('lowered');
       const lowerQuota = { perSecond: 10, burst: 10 };
-      await fleet.pass(6000, 200, () => fleet.anyNode());
+      await fleet.advance(6000, 200, () => fleet.pickAnyNode());
       fleet.adopt(lowerQuota);
       fleet.runs.length = 0;
-      await fleet.pass(8000, 200, () => fleet.anyNode());
+      await fleet.advance(8000, 200, () => fleet.pickAnyNode());
       expect(fleet.maxInWindow).to.be.at.most(allowedInWindow(lowerQuota));
     });
 
     it('gets a different retry time for each refused request', async () => {
       using fleet = simulation('hints');
-      await fleet.pass(3000, 0, () => fleet.anyNode());
-      await fleet.pass(3000, 200, () => fleet.anyNode());
+      await fleet.advance(3000, 0, () => fleet.pickAnyNode());
+      await fleet.advance(3000, 200, () => fleet.pickAnyNode());
       const node = fleet.nodes[0]!;
       const hints: number[] = [];
       for (let i = 0; i < 10; i++) {
         void Promise.resolve(node.quotas.acquire('dairy', QUOTA)).then(decision => {
           if (decision.kind === 'over') hints.push(decision.retryAfterMs);
         });
-        await fleet.pass(100, 200, () => fleet.anyNode());
+        await fleet.advance(100, 200, () => fleet.pickAnyNode());
       }
       expect(hints.length).to.be.greaterThan(3);
       for (const hint of hints) expect(hint).to.be.within(1, 10_000);
@@ -96,28 +96,28 @@
       nodeSelector: (fleet: QuotaSimulation) => () => (typeof fleet.nodes)[0],
     ) => {
       using fleet = simulation(seed);
-      await fleet.pass(4000, 0, () => fleet.anyNode());
-      await fleet.pass(15_000, 0.75 * QUOTA.perSecond, nodeSelector(fleet));
+      await fleet.advance(4000, 0, () => fleet.pickAnyNode());
+      await fleet.advance(15_000, 0.75 * QUOTA.perSecond, nodeSelector(fleet));
       return fleet.counts.taken / fleet.counts.asked;
     };
 
     it('is served completely, even if its callers use only two daemons of one failure domain', async () => {
-      const served = await servedRatio('skewed', fleet => () => fleet.oneOf(fleet.nodes.slice(0, 2)));
+      const served = await servedRatio('skewed', fleet => () => fleet.pickNode(fleet.nodes.slice(0, 2)));
       expect(served).to.be.at.least(0.99);
     });
 
     it('is served completely if its callers use all daemons, whose shares are about two requests per second', async () => {
-      expect(await servedRatio('even', fleet => () => fleet.anyNode())).to.be.at.least(0.99);
+      expect(await servedRatio('even', fleet => () => fleet.pickAnyNode())).to.be.at.least(0.99);
     });
 
     it('is served while a quota coordinator fails', async () => {
       using fleet = simulation('lost holder');
-      await fleet.pass(4000, 30, () => fleet.anyNode());
+      await fleet.advance(4000, 30, () => fleet.pickAnyNode());
       const failed = new Set(fleet.nodes.filter((_, i) => i % 4 === 1));
-      fleet.path = (a, b) => failed.has(a) === failed.has(b) && !failed.has(a);
+      fleet.isConnected = (a, b) => failed.has(a) === failed.has(b) && !failed.has(a);
       const others = fleet.nodes.filter(node => !failed.has(node));
       Object.assign(fleet.counts, { asked: 0, taken: 0 });
-      await fleet.pass(10_000, 20, () => fleet.oneOf(others));
+      await fleet.advance(10_000, 20, () => fleet.pickNode(others));
       expect(fleet.counts.taken / fleet.counts.asked).to.be.at.least(0.9);
     });
   });
@@ -136,15 +136,15 @@
         fc.array(step, { minLength: 3, maxLength: 8 }),
         async (seed, steps) => {
           using fleet = simulation(seed);
-          await fleet.pass(1500, 0, () => fleet.anyNode());
+          await fleet.advance(1500, 0, () => fleet.pickAnyNode());
           for (const { fault, share, forMs, load } of steps) {
             const affected = new Set(fleet.nodes.filter(() => fleet.random() < share));
-            if (fault === 'partition') fleet.path = (a, b) => affected.has(a) === affected.has(b);
-            if (fault === 'heal') fleet.path = () => true;
+            if (fault === 'partition') fleet.isConnected = (a, b) => affected.has(a) === affected.has(b);
+            if (fault === 'heal') fleet.isConnected = () => true;
             if (fault === 'restart') for (const node of affected) fleet.restart(node);
             if (fault === 'suspend') for (const node of affected) fleet.suspend(node, forMs * 2);
             fleet.loss = fault === 'loss' ? share / 2 : 0;
-            await fleet.pass(forMs, load, () => fleet.anyNode());
+            await fleet.advance(forMs, load, () => fleet.pickAnyNode());
           }
           expect(fleet.maxInWindow).to.be.at.most(allowedInWindow(QUOTA));
         },
--- a/tests/rateLimit.spec.ts
+++ b/tests/rateLimit.spec.ts
@@ -45,12 +45,12 @@
       fc.property(fc.array(step, { maxLength: 30 }), steps => {
         clock = new ManualClock();
         const rate = new RateLimit(clock);
-        rate.named(50);
+        rate.setRate(50);
         const times: number[] = [];
         for (const s of steps) {
           if (s.kind === 'consume') times.push(...consumeAll(rate, s.ms));
           else if (s.kind === 'pause') clock.advance(s.ms);
-          else if (s.kind === 'report') rate.named(s.rate);
+          else if (s.kind === 'report') rate.setRate(s.rate);
           else rate.applyPeerRate(s.rate);
         }
         expect(maxCountInWindow(times, WINDOW_MS)).to.be.at.most((50 * (WINDOW_MS + 500)) / 1000 + 1);
@@ -61,11 +61,11 @@
   it('accumulates at most half a second of tokens, and none by a suspension of its VM or a step of the wall clock', () => {
     const time = new SuspendableTime();
     const rate = new RateLimit(new SystemClock(time));
-    rate.named(10);
+    rate.setRate(10);
     time.suspend(60_000);
     time.step(60_000);
     expect(rate.hasToken).to.equal(false);
-    time.pass(60_000);
+    time.advance(60_000);
     let consumed = 0;
     for (; rate.hasToken; consumed++) rate.consumeToken();
     expect(consumed).to.equal(5);
@@ -73,13 +73,13 @@
 
   it('is fully used under sufficient load', () => {
     const rate = new RateLimit(clock);
-    rate.named(18.9);
+    rate.setRate(18.9);
     expect(consumeAll(rate, 20_000).length).to.be.within(377, 378);
   });
 
   it('of almost 0 still allows single requests', () => {
     const rate = new RateLimit(clock);
-    rate.named(0.25);
+    rate.setRate(0.25);
     expect(consumeAll(rate, 9000)).to.have.length(2);
   });
 
@@ -87,7 +87,7 @@
     const rate = new RateLimit(clock);
     const sentAt = clock.awake();
     clock.advance(10);
-    rate.named(5);
+    rate.setRate(5);
     rate.onRateAbsent(sentAt);
     expect(rate.perSecond).to.equal(5);
     clock.advance(10);
@@ -118,7 +118,7 @@
 
     it('refuses requests at once that would wait too long although slots are free, and reports the concurrency at that rate', async () => {
       using gate = admission(50);
-      gate.rate.named(4);
+      gate.rate.setRate(4);
       const results = await Promise.all([1, 1.5, 1.9].map(level => gate.request(level, 1000, NEVER)));
       expect(results.map(result => 'release' in result)).to.deep.equal([false, false, false]);
       expect(gate.load().limit).to.equal(1);
@@ -127,7 +127,7 @@
 
     it('keeps at most two seconds of requests in flight while the upstream is paused', async () => {
       using gate = admission(50);
-      gate.rate.named(4);
+      gate.rate.setRate(4);
       let running = 0;
       for (let i = 0; i < 200; i++) {
         void gate.request(0.5, 60_000, NEVER).then(result => 'release' in result && running++);
@@ -139,7 +139,7 @@
 
     it('starts queued requests by priority as the rate allows', async () => {
       using gate = admission(1000);
-      gate.rate.named(4);
+      gate.rate.setRate(4);
       const order: number[] = [];
       for (const level of [1.5, 0.5, 1.2])
         void gate
--- a/tests/relay.spec.ts
+++ b/tests/relay.spec.ts
@@ -74,13 +74,13 @@
       clock,
       routes: () => routes,
       configuration: { generation: 1, digest: 'd' },
-      journal: new DecisionTrace(clock),
+      decisionTrace: new DecisionTrace(clock),
       forwarder: { forward },
       originService: 'history',
       authenticator: new Authenticator({ random: () => 0.5, areRevocationsCurrent: () => true }),
       quotaGate: new QuotaGate({
         clock,
-        journal: new DecisionTrace(clock),
+        decisionTrace: new DecisionTrace(clock),
         quotas: () => {
           throw new Error('No organisation has a quota in this test.');
         },
--- a/tests/retryBudget.spec.ts
+++ b/tests/retryBudget.spec.ts
@@ -66,7 +66,7 @@
       retries: new TokenBucketRetryBudget(),
       freeReroutes: 0,
       signalsEnforceDeadline: false,
-      journal: new DecisionTrace(this.clock),
+      decisionTrace: new DecisionTrace(this.clock),
       quarantine: isolatedQuarantine(this.clock),
       self: 'none',
       local: exchange as never,
--- a/tests/suspendedVm.spec.ts
+++ b/tests/suspendedVm.spec.ts
@@ -44,7 +44,7 @@
   };
   const suspend = (ms: number) => {
     suspendedTime.suspend(ms);
-    otherTime.pass(ms);
+    otherTime.advance(ms);
   };
   const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
