--- a/packages/calls/src/forwarder.ts
+++ b/packages/calls/src/forwarder.ts
@@ -92,7 +92,7 @@
     body: ReplayableBody,
     signal: CancelSignal,
   ): Promise<CallResponse> {
-    const { clock, router, retries, freeReroutes, decisionTrace: journal, quarantine } = this.options;
+    const { clock, router, retries, freeReroutes, decisionTrace, quarantine } = this.options;
     const startedAt = clock.now();
     if (quarantine.loaded) await quarantine.loaded;
     const fingerprinted = new FingerprintedRequest(head, body);
@@ -127,7 +127,7 @@
         toHome: false,
         isRepeat,
       };
-      journal.record(context.requestId, 'Sent to an upstream.', {
+      decisionTrace.record(context.requestId, 'Sent to an upstream.', {
         try: attemptNumber,
         to: candidate.address,
         failureDomain: candidate.failureDomain,
@@ -153,7 +153,7 @@
       lastAttempt = result;
       tokens = retainedTokens + lastAttempt.unusedRetryTokens;
       mayHaveRun ||= lastAttempt.refusal.outcome !== 'not-run';
-      journal.record(context.requestId, 'The attempt was refused or failed.', {
+      decisionTrace.record(context.requestId, 'The attempt was refused or failed.', {
         result: resultByCode(lastAttempt.refusal.code),
         outcome: lastAttempt.refusal.outcome,
         why: lastAttempt.refusal.message,
@@ -176,11 +176,11 @@
 
   /** The refusal of a quarantined request. Fingerprints are computed only while there are suspects. */
   private refusalIfQuarantined(requestId: string, fingerprinted: FingerprintedRequest): Refusal | undefined {
-    const { quarantine, decisionTrace: journal } = this.options;
+    const { quarantine, decisionTrace } = this.options;
     if (quarantine.isEmpty) return undefined;
     const { fingerprint } = fingerprinted;
     if (quarantine.statusOf(fingerprint) !== 'held') return undefined;
-    journal.record(requestId, 'Quarantined: upstreams crashed while they ran it.', { fingerprint });
+    decisionTrace.record(requestId, 'Quarantined: upstreams crashed while they ran it.', { fingerprint });
     return quarantineRefusal(quarantine.retryAfterMs(fingerprint));
   }
 
@@ -285,7 +285,7 @@
 
   /** Sends seal requests until one has a definite response or the signal aborts. */
   private async seal(attempt: Attempt, signal: CancelSignal): Promise<SealAnswer | undefined> {
-    const { peers, clock, decisionTrace: journal } = this.options;
+    const { peers, clock, decisionTrace } = this.options;
     const { requestId, try: attemptNumber, targetEpoch } = attempt.context;
     while (!signal.aborted) {
       const request = { requestId, try: attemptNumber, targetEpoch, waitMs: SEAL_TIMEOUT_MS / 2 };
@@ -293,7 +293,7 @@
         .seal(attempt.candidate.address, request, SEAL_TIMEOUT_MS)
         .catch(() => undefined);
       if (response)
-        journal.record(requestId, 'Queried the state of the lost attempt.', { state: response.state });
+        decisionTrace.record(requestId, 'Queried the state of the lost attempt.', { state: response.state });
       if (response && response.state !== 'RUNNING') return response;
       await clock.sleep(SEAL_RETRY_DELAY_MS, signal);
     }
--- a/packages/calls/src/quotaGate.ts
+++ b/packages/calls/src/quotaGate.ts
@@ -74,11 +74,15 @@
     quota: Quota,
     decision: Exclude<QuotaDecision, { kind: 'taken' }>,
   ): CallResponse {
-    const { decisionTrace: journal } = this.options;
+    const { decisionTrace } = this.options;
     const facts = { ...this.factsOf(organisation), ...quota, ...decision };
-    journal.record(requestId, 'Refused: no token of the quota of its organisation was acquired.', facts);
+    decisionTrace.record(
+      requestId,
+      'Refused: no token of the quota of its organisation was acquired.',
+      facts,
+    );
     const response = singlePartResponse(refusalPart(refusalFor(organisation, decision), retryTokens));
-    recordOutcome(journal, requestId, response, 0);
+    recordOutcome(decisionTrace, requestId, response, 0);
     return response;
   }
 }
--- a/packages/calls/src/relay.ts
+++ b/packages/calls/src/relay.ts
@@ -108,16 +108,16 @@
 
   /** The credentials are not recorded. */
   private refuseUnauthenticated({ requestId, host, path }: RelayedRequest, refusal: Refusal): CallResponse {
-    const { decisionTrace: journal } = this.options;
-    journal.record(requestId, 'Taken.', { host, path });
+    const { decisionTrace } = this.options;
+    decisionTrace.record(requestId, 'Taken.', { host, path });
     const response = singlePartResponse(refusalPart(refusal, 0));
-    recordOutcome(journal, requestId, response, 0);
+    recordOutcome(decisionTrace, requestId, response, 0);
     return response;
   }
 
   private refuseForPressure({ requestId, class: rank }: CallContext): CallResponse {
-    const { decisionTrace: journal, random } = this.options;
-    journal.record(requestId, 'Refused at once: the daemon lacks processor time.', { class: rank });
+    const { decisionTrace, random } = this.options;
+    decisionTrace.record(requestId, 'Refused at once: the daemon lacks processor time.', { class: rank });
     const refusal = createRefusal('overloaded', 'The daemon lacks processor time.', {
       retryAfterMs: Math.round(PRESSURE_RETRY_AFTER_MS * (0.5 + random())),
     });
@@ -146,11 +146,11 @@
     routes: HostRoutes | undefined,
     route: HostRoute | undefined,
   ): CallResponse {
-    const { decisionTrace: journal, configuration } = this.options;
+    const { decisionTrace, configuration } = this.options;
     const { generation, digest } = configuration;
-    journal.record(requestId, 'Taken.', { host, path, generation, digest });
+    decisionTrace.record(requestId, 'Taken.', { host, path, generation, digest });
     const response = singlePartResponse(refusalPart(this.unroutable(routes, route), 0));
-    recordOutcome(journal, requestId, response, 0);
+    recordOutcome(decisionTrace, requestId, response, 0);
     return response;
   }
 
@@ -172,9 +172,9 @@
     body: ReplayableBody,
     signal: CancelSignal,
   ): Promise<CallResponse> {
-    const { clock, forwarder, decisionTrace: journal, quotaGate } = this.options;
+    const { clock, forwarder, decisionTrace, quotaGate } = this.options;
     const startedAt = clock.now();
-    journal.record(context.requestId, 'Taken.', {
+    decisionTrace.record(context.requestId, 'Taken.', {
       route: route.name,
       service,
       generation: context.generation,
@@ -212,7 +212,7 @@
         if (isSettled) return;
         isSettled = true;
         timer[Symbol.dispose]();
-        recordOutcome(journal, context.requestId, response, clock.now() - startedAt);
+        recordOutcome(decisionTrace, context.requestId, response, clock.now() - startedAt);
         resolve(response);
       };
       forwarder
--- a/packages/calls/src/upstreamDispatcher.ts
+++ b/packages/calls/src/upstreamDispatcher.ts
@@ -121,7 +121,7 @@
    */
   private async serveSuspect(call: IncomingCall, signal: CancelSignal): Promise<CallResponse> {
     const { head, context, route, upstream } = call;
-    const wanted = this.quarantineStatusOf(call) === 'strong-suspect' ? 'all-places' : 'a-place';
+    const wanted = this.quarantineStatusOf(call) === 'strong-suspect' ? 'all' : 'one';
     using permits = await this.suspectSemaphore.acquire(upstream.start, wanted, signal);
     void permits;
     if (this.quarantineStatusOf(call) === 'held') return this.refuseQuarantined(call);
@@ -132,12 +132,12 @@
   }
 
   private refuseQuarantined({ head, body, context: { requestId, retryTokens } }: IncomingCall): CallResponse {
-    const { decisionTrace: journal, quarantine } = this.options;
-    journal.record(
+    const { decisionTrace, quarantine } = this.options;
+    decisionTrace.record(
       requestId,
       'Quarantined at the daemon of the upstream: other upstreams crashed while they ran it.',
     );
-    journal.requestEnded(requestId, true);
+    decisionTrace.requestEnded(requestId, true);
     const retryAfterMs = quarantine.retryAfterMs(receivedFingerprint(head, body) ?? '');
     return singlePartResponse(refusalPart(quarantineRefusal(retryAfterMs), retryTokens));
   }
@@ -184,7 +184,7 @@
     upstream: LocalUpstream,
     signal: CancelSignal,
   ): Promise<Permit | Refusal> {
-    const { attempts, decisionTrace: journal } = this.options;
+    const { attempts, decisionTrace } = this.options;
     const { requestId } = context;
     const barredRefusal = route.idempotent ? undefined : attempts.register(requestId, context.try);
     if (barredRefusal) return barredRefusal;
@@ -207,16 +207,16 @@
       admissionLevel,
       ...(perSecond !== undefined && { requestsPerSecond: perSecond }),
     };
-    journal.record(requestId, 'Not admitted.', { result: resultByCode(permit.code), ...facts });
-    journal.requestEnded(requestId, true);
+    decisionTrace.record(requestId, 'Not admitted.', { result: resultByCode(permit.code), ...facts });
+    decisionTrace.requestEnded(requestId, true);
     return permit;
   }
 
   private async run(admitted: AdmittedCall, signal: CancelSignal): Promise<CallResponse> {
-    const { clock, running, decisionTrace: journal } = this.options;
+    const { clock, running, decisionTrace } = this.options;
     const { context, route, upstream, permit } = admitted;
     const startedAt = clock.now();
-    journal.record(context.requestId, 'Given to the upstream.', {
+    decisionTrace.record(context.requestId, 'Given to the upstream.', {
       instance: upstream.instanceId,
       remainingMs: context.remainingMs,
       inFlight: upstream.admission.load().inFlight,
@@ -247,8 +247,11 @@
       upstream.costs.recordRun(route.name, tookMs);
       if (!call.hasMadeCalls) upstream.admission.limit.recordRun(route.name, permit.share, tookMs);
       const waitedMs = Math.round(tookMs);
-      journal.record(context.requestId, 'The upstream responded.', { status: statusOf(response), waitedMs });
-      journal.requestEnded(context.requestId, false);
+      decisionTrace.record(context.requestId, 'The upstream responded.', {
+        status: statusOf(response),
+        waitedMs,
+      });
+      decisionTrace.requestEnded(context.requestId, false);
       if (!response.rest) finish();
       return response.rest
         ? { ...response, rest: this.finishingParts(admitted, call, response.rest, finish) }
@@ -360,15 +363,15 @@
     const isCancelled = signal.aborted;
     if (!isCancelled) upstream.connections.suspendReuse();
     const result: ResultName = isCancelled ? 'deadlinePassed' : 'upstreamBroke';
-    const { decisionTrace: journal } = this.options;
-    journal.record(context.requestId, 'The upstream sent no complete response.', {
+    const { decisionTrace } = this.options;
+    decisionTrace.record(context.requestId, 'The upstream sent no complete response.', {
       why: message ?? 'unknown',
     });
     const isMismatch = error instanceof ResponseMismatch;
     const crash =
       isCancelled || isMismatch ? undefined : await this.options.crashDetector.checkForCrash(upstream);
     if (crash) this.recordCrash(context.requestId, crash, admitted);
-    journal.requestEnded(context.requestId, true);
+    decisionTrace.requestEnded(context.requestId, true);
     if (isCancelled)
       return createRefusal(result, `The request was cancelled. ${(signal.reason as Error).message}`);
     if (isMismatch) return createRefusal(result, error.message, { elsewhereHelps: true });
--- a/packages/daemon/src/organisationServices.ts
+++ b/packages/daemon/src/organisationServices.ts
@@ -69,7 +69,7 @@
   createQuotaGate(decisionTrace: DecisionTrace): QuotaGate {
     return new QuotaGate({
       clock: this.options.clock,
-      decisionTrace: decisionTrace,
+      decisionTrace,
       quotas: () => this.quotas,
       counts: this.counts,
       proofAgeMs: () => this.freshness.ageMs,
--- a/packages/daemon/src/platformReaders.ts
+++ b/packages/daemon/src/platformReaders.ts
@@ -76,7 +76,7 @@
 export class PlatformReaders {
   constructor(
     private readonly clock: Clock,
-    private readonly membership: Pick<Membership, 'me' | 'table' | 'lastHeardAt' | 'aliveCount'>,
+    private readonly membership: Pick<Membership, 'me' | 'table' | 'lastReceivedAt' | 'aliveCount'>,
     private readonly failureDomain: string,
   ) {}
 
@@ -95,7 +95,7 @@
    * members yet, it can't tell whether it is a reader.
    */
   get mustReadPlatform(): boolean {
-    const isIsolated = this.clock.now() - this.membership.lastHeardAt > ISOLATED_AFTER_MS;
+    const isIsolated = this.clock.now() - this.membership.lastReceivedAt > ISOLATED_AFTER_MS;
     return isIsolated || (this.membership.aliveCount() > 0 && this.isReader);
   }
 
--- a/packages/daemon/src/relayDaemon.ts
+++ b/packages/daemon/src/relayDaemon.ts
@@ -228,7 +228,7 @@
   }
 
   /** Handles an upstream's report that it is shutting down. It is recorded, so that a restart of this daemon preserves it. */
-  async leave(instanceId: string, born?: number): Promise<void> {
+  async markUpstreamLeaving(instanceId: string, born?: number): Promise<void> {
     const isNew = this.upstreams.markLeaving(instanceId, born);
     if (isNew) await this.discovery.record();
   }
@@ -369,7 +369,7 @@
       healthPath: service => this.healthPathOf(service),
       hasAnnounced: service => this.upstreams.get(service) !== undefined,
       announce: announcement => this.upstreams.announce(announcement),
-      markLeaving: ({ instanceId, born }) => this.leave(instanceId, born),
+      markLeaving: ({ instanceId, born }) => this.markUpstreamLeaving(instanceId, born),
       log: (message, facts) => log.info(facts, `Upstreams: ${message}`),
     });
   }
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -127,7 +127,7 @@
   }
 
   /** Monotonic time at which a datagram was last received, ms; initially that of the start. */
-  get lastHeardAt(): number {
+  get lastReceivedAt(): number {
     return this.receivedAt;
   }
 
--- a/packages/quarantine/src/suspectSemaphore.ts
+++ b/packages/quarantine/src/suspectSemaphore.ts
@@ -12,7 +12,7 @@
 const PERMITS_PER_START = 4;
 
 /** Permits that a suspect needs: one, or all of them. */
-export type Permits = 'a-place' | 'all-places';
+export type Permits = 'one' | 'all';
 
 interface Waiter {
   readonly permits: number;
@@ -32,7 +32,7 @@
   async acquire(start: string, wanted: Permits, signal: CancelSignal): Promise<Disposable> {
     const semaphore = this.byStart.get(start) ?? { available: PERMITS_PER_START, queue: [] };
     this.byStart.set(start, semaphore);
-    const permits = wanted === 'all-places' ? PERMITS_PER_START : 1;
+    const permits = wanted === 'all' ? PERMITS_PER_START : 1;
     const hasPermits = await waitForPermits(semaphore, permits, signal);
     return { [Symbol.dispose]: () => this.release(start, semaphore, hasPermits ? permits : 0) };
   }
--- a/packages/standins/src/platform/platformUpstreamStandin.ts
+++ b/packages/standins/src/platform/platformUpstreamStandin.ts
@@ -35,7 +35,7 @@
   /** Resets the connection before reading the request. */
   | 'reset-before-request'
   /** Crashes with all requests in flight some time after the start of this one, and restarts later as another instance. */
-  | 'end';
+  | 'crash';
 
 /** A call to another service during a request. */
 export interface UpstreamCall {
@@ -54,7 +54,7 @@
   /** Time from the start of a query of death to the crash. */
   crashDelayMs: number;
   /** Time from a crash to the restart. */
-  awayMs: number;
+  restartDelayMs: number;
   /** Requests a second that it reports as its limit in all responses; no limit if undefined. */
   rateLimit: string | string[] | undefined;
   /** Reports in all responses that it shuts down, regardless of its announcements. */
@@ -86,7 +86,7 @@
   calls: [],
   fault: () => 'none',
   crashDelayMs: 55,
-  awayMs: 2500,
+  restartDelayMs: 2500,
   rateLimit: undefined,
   saysLeaving: false,
 };
@@ -170,7 +170,7 @@
   }
 
   /** Simulates a crash: closes all connections and the listener, and restarts later as another instance. */
-  async end(requestId = ''): Promise<void> {
+  async crash(requestId = ''): Promise<void> {
     if (!this.server.listening) return;
     this.crashes.push({ at: performance.now(), requestId });
     this.isAnnouncing = false;
@@ -179,7 +179,9 @@
     const closed = new Promise(resolve => server.close(resolve));
     server.closeAllConnections();
     await closed;
-    await sleep(this.behaviour.awayMs, undefined, { signal: this.stopped.signal }).catch(() => undefined);
+    await sleep(this.behaviour.restartDelayMs, undefined, { signal: this.stopped.signal }).catch(
+      () => undefined,
+    );
     if (this.stopped.signal.aborted) return;
     this.starts++;
     this.sequence = 0;
@@ -241,9 +243,9 @@
     if (!(await this.slots.acquire(disconnect.signal))) return;
     try {
       received.ran = true;
-      if (fault === 'end') setTimeout(() => void this.end(requestId), this.behaviour.crashDelayMs);
+      if (fault === 'crash') setTimeout(() => void this.crash(requestId), this.behaviour.crashDelayMs);
       for await (const chunk of request) void chunk;
-      if (fault === 'end') await sleep(2 * this.behaviour.crashDelayMs);
+      if (fault === 'crash') await sleep(2 * this.behaviour.crashDelayMs);
       await sleep(this.behaviour.workMs, undefined, { signal: disconnect.signal }).catch(() => undefined);
       const allSucceeded = await this.makeCalls(requestId);
       received.ended = !disconnect.signal.aborted;
--- a/tests/daemonRow.spec.ts
+++ b/tests/daemonRow.spec.ts
@@ -28,9 +28,9 @@
     const row = () => fleet.store.text('daemons', daemon.membership.me.address) ?? '';
     const performed = new Promise(resolve => setTimeout(resolve, WRITE_DELAY_MS + 200));
     fleet.store.faults.lateWritesMs = WRITE_DELAY_MS;
-    await daemon.leave('first');
+    await daemon.markUpstreamLeaving('first');
     fleet.store.faults.lateWritesMs = 0;
-    await daemon.leave('second');
+    await daemon.markUpstreamLeaving('second');
     await performed;
     expect(row()).to.include('first').and.to.include('second');
   });
--- a/tests/freshness.spec.ts
+++ b/tests/freshness.spec.ts
@@ -94,8 +94,8 @@
 
   describe('in all histories of changes, reads, requests, suspensions and restarts', () => {
     it('accepts no key for longer than the limit after its revocation', () => {
-      const { broken, states } = searchHistories('none', MAX_STEPS);
-      expect(broken).to.equal(undefined);
+      const { violation, states } = searchHistories('none', MAX_STEPS);
+      expect(violation).to.equal(undefined);
       expect(states).to.be.greaterThan(20_000);
     });
 
@@ -108,7 +108,7 @@
     ];
     for (const mistake of mistakes) {
       it(`would find a violation if ${mistake.replaceAll('-', ' ')}`, () => {
-        expect(searchHistories(mistake, MAX_STEPS_WITH_MISTAKE).broken).to.not.equal(undefined);
+        expect(searchHistories(mistake, MAX_STEPS_WITH_MISTAKE).violation).to.not.equal(undefined);
       });
     }
   });
--- a/tests/leavingAnswers.spec.ts
+++ b/tests/leavingAnswers.spec.ts
@@ -111,8 +111,8 @@
     for (const index of LEAVING_INDEXES) {
       const { upstream } = node(index);
       upstream.behaviour.saysLeaving = false;
-      upstream.behaviour.awayMs = 200;
-      await upstream.end();
+      upstream.behaviour.restartDelayMs = 200;
+      await upstream.crash();
     }
     const restartedAt = performance.now();
     await sleep(DRAIN_TIMEOUT_MS);
--- a/tests/platformExplain.spec.ts
+++ b/tests/platformExplain.spec.ts
@@ -56,8 +56,8 @@
 
   it('names the crash of the upstream, and the fingerprint that the request has under other ids', async () => {
     const { upstream } = fleet.nodes[1]!;
-    upstream.behaviour.awayMs = 100;
-    upstream.behaviour.fault = (_id, path) => (path === '/deadly' ? 'end' : 'none');
+    upstream.behaviour.restartDelayMs = 100;
+    upstream.behaviour.fault = (_id, path) => (path === '/deadly' ? 'crash' : 'none');
     await fleet.send(0, { id: 'deadly-1', path: '/deadly' });
     while ((await fleet.send(0)).status !== 200) await new Promise(resolve => setTimeout(resolve, 20));
     await fleet.send(1, { id: 'deadly-2', path: '/deadly' });
--- a/tests/platformLifetimes.spec.ts
+++ b/tests/platformLifetimes.spec.ts
@@ -61,7 +61,11 @@
     await node!.upstream.leave();
     fleet.store.put('daemons', address, before);
     await fleet.restart(node!);
-    await until(() => fleet.logged.some(({ msg }) => msg.includes('A recorded upstream is gone.')));
+    await until(() =>
+      fleet.logged.some(({ msg }) =>
+        msg.includes('A recorded upstream is not restored: no health check confirmed that it is running.'),
+      ),
+    );
     expect(node!.daemon.upstreams.identifiedUpstreams).to.deep.equal([]);
   });
 
--- a/tests/platformReaders.spec.ts
+++ b/tests/platformReaders.spec.ts
@@ -24,7 +24,7 @@
     const lastReceivedAt = clock.now();
     const table = { get: (address: string) => members.get(address), all: () => members.values() };
     const aliveCount = () => members.size - 1;
-    const membership = { me: members.get(self)!, table, lastHeardAt: lastReceivedAt, aliveCount };
+    const membership = { me: members.get(self)!, table, lastReceivedAt, aliveCount };
     return new PlatformReaders(clock, membership as never, members.get(self)!.failureDomain);
   };
   const activeReaders = () =>
--- a/tests/quarantine.spec.ts
+++ b/tests/quarantine.spec.ts
@@ -240,8 +240,8 @@
   const settle = () => new Promise(resolve => setImmediate(resolve));
 
   it('run four at a time, in order of arrival', async () => {
-    const permits = ['a', 'b', 'c', 'd', 'e'].map(name => acquire(name, 'a-place'));
-    void acquire('elsewhere', 'a-place', { start: 'v' });
+    const permits = ['a', 'b', 'c', 'd', 'e'].map(name => acquire(name, 'one'));
+    void acquire('elsewhere', 'one', { start: 'v' });
     await settle();
     expect(started).to.deep.equal(['a', 'b', 'c', 'd', 'elsewhere']);
     (await permits[1])![Symbol.dispose]();
@@ -250,9 +250,9 @@
   });
 
   it('run without any other suspect after two crashes', async () => {
-    const first = await acquire('first', 'a-place');
-    const strongSuspect = acquire('strong suspect', 'all-places');
-    void acquire('later', 'a-place');
+    const first = await acquire('first', 'one');
+    const strongSuspect = acquire('strong suspect', 'all');
+    void acquire('later', 'one');
     await settle();
     expect(started).to.deep.equal(['first']);
     first[Symbol.dispose]();
@@ -264,10 +264,10 @@
   });
 
   it('that are cancelled while they wait do not block others', async () => {
-    const first = await acquire('first', 'a-place');
+    const first = await acquire('first', 'one');
     const cancellation = new Cancellation();
-    const cancelled = acquire('cancelled', 'all-places', { signal: cancellation.signal });
-    const later = acquire('later', 'a-place');
+    const cancelled = acquire('cancelled', 'all', { signal: cancellation.signal });
+    const later = acquire('later', 'one');
     cancellation.abort(new Error('cancelled'));
     (await cancelled)[Symbol.dispose]();
     await later;
--- a/tests/quarantineOperators.spec.ts
+++ b/tests/quarantineOperators.spec.ts
@@ -24,8 +24,8 @@
     const vms = [{ service: 'history' }, { service: 'history' }, { service: 'history' }];
     fleet = await PlatformFleet.start(vms, [routeTo('history')]);
     for (const { upstream } of fleet.nodes) {
-      upstream.behaviour.awayMs = 100;
-      upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'end' : 'none');
+      upstream.behaviour.restartDelayMs = 100;
+      upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'crash' : 'none');
     }
     while (crashCount() < QUARANTINE_CRASHES) await fleet.send(0, { path: QUERY_OF_DEATH });
     await Promise.all(fleet.nodes.map((_node, i) => untilQuarantined(i)));
@@ -97,7 +97,7 @@
     const vms = [{ service: 'history' }, { service: 'history' }, { service: 'history' }];
     fleet = await PlatformFleet.start(vms, [routeTo('history')]);
     for (const { upstream } of fleet.nodes)
-      upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'end' : 'none');
+      upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'crash' : 'none');
   });
 
   afterEach(() => fleet[Symbol.asyncDispose]());
@@ -125,7 +125,7 @@
     for (const name of ['a', 'b', 'c']) await fleet.add({ service: 'history' }, name.repeat(MAX_NAME_CHARS));
     await fleet.waitUntilConverged();
     for (const { upstream } of fleet.nodes)
-      upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'end' : 'none');
+      upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'crash' : 'none');
   });
 
   afterEach(() => fleet[Symbol.asyncDispose]());
@@ -147,7 +147,7 @@
       services.map(service => routeTo(service)),
     );
     for (const { upstream } of fleet.nodes)
-      upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'end' : 'none');
+      upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'crash' : 'none');
   };
   const crashCount = () => fleet.nodes.reduce((sum, { upstream }) => sum + upstream.crashes.length, 0);
   const untilQuarantined = async () => {
--- a/tests/quarantineSoak.spec.ts
+++ b/tests/quarantineSoak.spec.ts
@@ -52,8 +52,8 @@
     fleet = await ProcessFleet.start(VMS, [routeTo('history', { timeoutS: 5 })]);
     for (const { upstream } of fleet.nodes) {
       upstream.behaviour.workMs = 60;
-      upstream.behaviour.awayMs = 1000;
-      upstream.behaviour.fault = (_id, path) => (path.startsWith('/deadly') ? 'end' : 'none');
+      upstream.behaviour.restartDelayMs = 1000;
+      upstream.behaviour.fault = (_id, path) => (path.startsWith('/deadly') ? 'crash' : 'none');
     }
   });
 
--- a/tests/queryOfDeath.spec.ts
+++ b/tests/queryOfDeath.spec.ts
@@ -49,7 +49,7 @@
     queryCount = 0;
     fleet = await ProcessFleet.start(VMS, ROUTES);
     for (const { upstream } of fleet.nodes)
-      upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'end' : 'none');
+      upstream.behaviour.fault = (_id, path) => (path === QUERY_OF_DEATH ? 'crash' : 'none');
   });
 
   afterEach(() => fleet[Symbol.asyncDispose]());
--- a/tests/quotas.spec.ts
+++ b/tests/quotas.spec.ts
@@ -98,7 +98,7 @@
       using fleet = simulation(seed);
       await fleet.advance(4000, 0, () => fleet.pickAnyNode());
       await fleet.advance(15_000, 0.75 * QUOTA.perSecond, nodeSelector(fleet));
-      return fleet.counts.taken / fleet.counts.asked;
+      return fleet.counts.taken / fleet.counts.requests;
     };
 
     it('is served completely, even if its callers use only two daemons of one failure domain', async () => {
@@ -116,9 +116,9 @@
       const failed = new Set(fleet.nodes.filter((_, i) => i % 4 === 1));
       fleet.isConnected = (a, b) => failed.has(a) === failed.has(b) && !failed.has(a);
       const others = fleet.nodes.filter(node => !failed.has(node));
-      Object.assign(fleet.counts, { asked: 0, taken: 0 });
+      Object.assign(fleet.counts, { requests: 0, taken: 0 });
       await fleet.advance(10_000, 20, () => fleet.pickNode(others));
-      expect(fleet.counts.taken / fleet.counts.asked).to.be.at.least(0.9);
+      expect(fleet.counts.taken / fleet.counts.requests).to.be.at.least(0.9);
     });
   });
 
--- a/tests/upstreamNoticeSoak.spec.ts
+++ b/tests/upstreamNoticeSoak.spec.ts
@@ -20,7 +20,7 @@
 const MAX_FAULTS = 3;
 const MAX_BEFORE_MS = 1500;
 const MAX_AFTER_MS = 3500;
-const AWAY_MS = 300;
+const RESTART_DELAY_MS = 300;
 
 const LIMITED_RATIO = 0.5;
 const SHUTDOWN_RATIO = 0.3;
@@ -83,7 +83,7 @@
     histories = VMS.map(() => ({ rateLimits: [], shutdowns: [], faults: [] }));
     fleet = await ProcessFleet.start(VMS, [routeTo('history')]);
     for (const { upstream } of fleet.nodes)
-      Object.assign(upstream.behaviour, { workMs: WORK_MS, awayMs: AWAY_MS });
+      Object.assign(upstream.behaviour, { workMs: WORK_MS, restartDelayMs: RESTART_DELAY_MS });
   });
 
   afterEach(() => fleet[Symbol.asyncDispose]());
@@ -115,7 +115,7 @@
   /** Restarts the upstream. Its next process reports nothing at first. */
   const restartUpstream = async (index: number) => {
     const { upstream } = node(index);
-    const restarted = upstream.end();
+    const restarted = upstream.crash();
     Object.assign(upstream.behaviour, { saysLeaving: false, rateLimit: undefined });
     close(histories[index]!.rateLimits);
     close(histories[index]!.shutdowns);
